--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Standing is how a call's program stands. Calls of a lower one go first.
-type Standing int32
+// QueueClass is how a call's program stands. Calls of a lower one go first.
+type QueueClass int32
 
 // The standings. To let new programs begin before those under way are served makes all of them late.
 const (
 	// OnTime programs have begun and can still end in time. The zero value.
-	OnTime Standing = iota
+	OnTime QueueClass = iota
 	// Behind programs have begun and will end late.
 	Behind
 	// New programs have not begun.
@@ -21,7 +21,7 @@
 )
 
 // StandingOf returns the standing of a call whose program has begun or not, and can't end in time or can.
-func StandingOf(begun, late bool) Standing {
+func StandingOf(begun, late bool) QueueClass {
 	switch {
 	case begun && late:
 		return Behind
@@ -41,7 +41,7 @@
 	Weight int32
 	// Standing and Due come before priority: of OnTime calls the one goes first whose program has the least time to
 	// lose. Due is from when on that program can't end in time; zero where that is not known.
-	Standing Standing
+	Standing QueueClass
 	Due      time.Time
 	// Priority is the program's, 0 to 9.
 	Priority int32
