--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -214,7 +214,7 @@
 func (g *Gate) push(l *line, w *waiter, now time.Time) {
 	late := g.lateAtLocked(w.call)
 	w.queued = &policy.Waiting{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, Due: late,
-		Standing: policy.StandingOf(w.call.Begun, !late.IsZero() && !now.Before(late))}
+		Standing: policy.ClassOf(w.call.Begun, !late.IsZero() && !now.Before(late))}
 	l.queue.Push(w.queued)
 }
 
--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -20,8 +20,8 @@
 	NewBehind
 )
 
-// StandingOf returns the standing of a call whose program has begun or not, and can't end in time or can.
-func StandingOf(begun, late bool) QueueClass {
+// ClassOf returns the standing of a call whose program has begun or not, and can't end in time or can.
+func ClassOf(begun, late bool) QueueClass {
 	switch {
 	case begun && late:
 		return Behind
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -89,10 +89,10 @@
 	for i, want := range []*policy.Waiting{soon, later, unknown, behind, freshUrgent, fresh, lost} {
 		assert.Assert(t, q.Pop() == want, "place %d", i)
 	}
-	assert.Equal(t, policy.StandingOf(true, false), policy.OnTime)
-	assert.Equal(t, policy.StandingOf(true, true), policy.Behind)
-	assert.Equal(t, policy.StandingOf(false, false), policy.New)
-	assert.Equal(t, policy.StandingOf(false, true), policy.NewBehind)
+	assert.Equal(t, policy.ClassOf(true, false), policy.OnTime)
+	assert.Equal(t, policy.ClassOf(true, true), policy.Behind)
+	assert.Equal(t, policy.ClassOf(false, false), policy.New)
+	assert.Equal(t, policy.ClassOf(false, true), policy.NewBehind)
 }
 
 // BenchmarkDispatch is one call's way: it joins a queue, sees how many are ahead, the next one is taken out and
