--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -10,8 +10,8 @@
 
 // The standings. To let new programs begin before those under way are served makes all of them late.
 const (
-	// OnTime programs have begun and can still end in time. The zero value.
-	OnTime QueueClass = iota
+	// StartedOnTime programs have begun and can still end in time. The zero value.
+	StartedOnTime QueueClass = iota
 	// Behind programs have begun and will end late.
 	Behind
 	// New programs have not begun.
@@ -26,7 +26,7 @@
 	case begun && late:
 		return Behind
 	case begun:
-		return OnTime
+		return StartedOnTime
 	case late:
 		return NewBehind
 	default:
@@ -175,7 +175,7 @@
 	if w.Standing != other.Standing {
 		return w.Standing < other.Standing
 	}
-	if w.Standing == OnTime && !w.Due.Equal(other.Due) {
+	if w.Standing == StartedOnTime && !w.Due.Equal(other.Due) {
 		return other.Due.IsZero() || !w.Due.IsZero() && w.Due.Before(other.Due)
 	}
 	if w.Priority != other.Priority {
