--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -12,8 +12,8 @@
 const (
 	// StartedOnTime programs have begun and can still end in time. The zero value.
 	StartedOnTime QueueClass = iota
-	// Behind programs have begun and will end late.
-	Behind
+	// StartedLate programs have begun and will end late.
+	StartedLate
 	// New programs have not begun.
 	New
 	// NewBehind programs have not begun and would end late.
@@ -24,7 +24,7 @@
 func ClassOf(begun, late bool) QueueClass {
 	switch {
 	case begun && late:
-		return Behind
+		return StartedLate
 	case begun:
 		return StartedOnTime
 	case late:
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -79,7 +79,7 @@
 	}
 	fresh := add(policy.New, now, 0)
 	freshUrgent := add(policy.New, now.Add(time.Hour), 9)
-	behind := add(policy.Behind, now.Add(-time.Hour), 0)
+	behind := add(policy.StartedLate, now.Add(-time.Hour), 0)
 	unknown := add(policy.StartedOnTime, time.Time{}, 9)
 	later := add(policy.StartedOnTime, now.Add(time.Second), 9)
 	soon := add(policy.StartedOnTime, now, 0)
@@ -90,7 +90,7 @@
 		assert.Assert(t, q.Pop() == want, "place %d", i)
 	}
 	assert.Equal(t, policy.ClassOf(true, false), policy.StartedOnTime)
-	assert.Equal(t, policy.ClassOf(true, true), policy.Behind)
+	assert.Equal(t, policy.ClassOf(true, true), policy.StartedLate)
 	assert.Equal(t, policy.ClassOf(false, false), policy.New)
 	assert.Equal(t, policy.ClassOf(false, true), policy.NewBehind)
 }
