--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -183,7 +183,7 @@
 // inTime tells whether a waiting call can expect its turn before it is of no use.
 func (g *Gate) inTime(l *line, w *waiter, now time.Time) bool {
 	left, rate := w.call.Until.Add(-w.call.Alone).Sub(now), l.all.read(now)
-	if w.queued.Standing == policy.New {
+	if w.queued.Standing == policy.NewOnTime {
 		rate = l.fresh.read(now)
 		if late := g.lateAtLocked(w.call); !late.IsZero() {
 			left = min(left, late.Sub(now))
@@ -225,7 +225,7 @@
 		now := time.Now()
 		l.running++
 		l.all.add(now)
-		if next.Standing == policy.New {
+		if next.Standing == policy.NewOnTime {
 			l.fresh.add(now)
 		}
 		close(next.Value.(*waiter).granted)
--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -14,8 +14,8 @@
 	StartedOnTime QueueClass = iota
 	// StartedLate programs have begun and will end late.
 	StartedLate
-	// New programs have not begun.
-	New
+	// NewOnTime programs have not begun.
+	NewOnTime
 	// NewBehind programs have not begun and would end late.
 	NewBehind
 )
@@ -30,7 +30,7 @@
 	case late:
 		return NewBehind
 	default:
-		return New
+		return NewOnTime
 	}
 }
 
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -77,8 +77,8 @@
 		q.Push(w)
 		return w
 	}
-	fresh := add(policy.New, now, 0)
-	freshUrgent := add(policy.New, now.Add(time.Hour), 9)
+	fresh := add(policy.NewOnTime, now, 0)
+	freshUrgent := add(policy.NewOnTime, now.Add(time.Hour), 9)
 	behind := add(policy.StartedLate, now.Add(-time.Hour), 0)
 	unknown := add(policy.StartedOnTime, time.Time{}, 9)
 	later := add(policy.StartedOnTime, now.Add(time.Second), 9)
@@ -91,7 +91,7 @@
 	}
 	assert.Equal(t, policy.ClassOf(true, false), policy.StartedOnTime)
 	assert.Equal(t, policy.ClassOf(true, true), policy.StartedLate)
-	assert.Equal(t, policy.ClassOf(false, false), policy.New)
+	assert.Equal(t, policy.ClassOf(false, false), policy.NewOnTime)
 	assert.Equal(t, policy.ClassOf(false, true), policy.NewBehind)
 }
 
