--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -16,8 +16,8 @@
 	StartedLate
 	// NewOnTime programs have not begun.
 	NewOnTime
-	// NewBehind programs have not begun and would end late.
-	NewBehind
+	// NewLate programs have not begun and would end late.
+	NewLate
 )
 
 // ClassOf returns the standing of a call whose program has begun or not, and can't end in time or can.
@@ -28,7 +28,7 @@
 	case begun:
 		return StartedOnTime
 	case late:
-		return NewBehind
+		return NewLate
 	default:
 		return NewOnTime
 	}
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -83,7 +83,7 @@
 	unknown := add(policy.StartedOnTime, time.Time{}, 9)
 	later := add(policy.StartedOnTime, now.Add(time.Second), 9)
 	soon := add(policy.StartedOnTime, now, 0)
-	lost := add(policy.NewBehind, now, 9)
+	lost := add(policy.NewLate, now, 9)
 	assert.Equal(t, q.Ahead(unknown), 2)
 	assert.Equal(t, q.Ahead(fresh), 1)
 	for i, want := range []*policy.Waiting{soon, later, unknown, behind, freshUrgent, fresh, lost} {
@@ -92,7 +92,7 @@
 	assert.Equal(t, policy.ClassOf(true, false), policy.StartedOnTime)
 	assert.Equal(t, policy.ClassOf(true, true), policy.StartedLate)
 	assert.Equal(t, policy.ClassOf(false, false), policy.NewOnTime)
-	assert.Equal(t, policy.ClassOf(false, true), policy.NewBehind)
+	assert.Equal(t, policy.ClassOf(false, true), policy.NewLate)
 }
 
 // BenchmarkDispatch is one call's way: it joins a queue, sees how many are ahead, the next one is taken out and
