--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -74,7 +74,7 @@
 type waiter struct {
 	call    *Call
 	granted chan struct{}
-	queued  *policy.Waiting
+	queued  *policy.QueuedCall
 }
 
 // New returns a gate that knows of no other daemon.
@@ -213,7 +213,7 @@
 // push queues a call by how its program stands.
 func (g *Gate) push(l *line, w *waiter, now time.Time) {
 	late := g.lateAtLocked(w.call)
-	w.queued = &policy.Waiting{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, Due: late,
+	w.queued = &policy.QueuedCall{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, Due: late,
 		Standing: policy.ClassOf(w.call.Begun, !late.IsZero() && !now.Before(late))}
 	l.queue.Push(w.queued)
 }
--- a/internal/decide/policy/policy_test.go
+++ b/internal/decide/policy/policy_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-func push(q *policy.Queue, organisation string, weight, priority int32, attained, cost int64) *policy.Waiting {
-	w := &policy.Waiting{Organisation: organisation, Weight: weight, Priority: priority, Attained: attained, Cost: cost}
+func push(q *policy.Queue, organisation string, weight, priority int32, attained, cost int64) *policy.QueuedCall {
+	w := &policy.QueuedCall{Organisation: organisation, Weight: weight, Priority: priority, Attained: attained, Cost: cost}
 	q.Push(w)
 	return w
 }
@@ -95,7 +95,7 @@
 func TestQueueProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var q policy.Queue
-		in := map[*policy.Waiting]bool{}
+		in := map[*policy.QueuedCall]bool{}
 		for range rapid.IntRange(1, 200).Draw(r, "steps") {
 			switch rapid.IntRange(0, 3).Draw(r, "step") {
 			case 0, 1:
--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Waiting is one call that waits for an engine.
-type Waiting struct {
+// QueuedCall is one call that waits for an engine.
+type QueuedCall struct {
 	Organisation string
 	// Weight is the organisation's share of busy engines; at least 1.
 	Weight int32
@@ -93,7 +93,7 @@
 
 // Push adds a call. An organisation that was idle starts at the present virtual time: it gains nothing from
 // having been idle.
-func (q *Queue) Push(w *Waiting) {
+func (q *Queue) Push(w *QueuedCall) {
 	if q.organisations == nil {
 		q.organisations = map[string]*tenant{}
 	}
@@ -113,12 +113,12 @@
 }
 
 // Pop removes and returns the call to serve next, or nil. The call's cost is charged to its organisation.
-func (q *Queue) Pop() *Waiting {
+func (q *Queue) Pop() *QueuedCall {
 	if len(q.ready) == 0 {
 		return nil
 	}
 	t := q.ready[0]
-	w := heap.Pop(&t.calls).(*Waiting)
+	w := heap.Pop(&t.calls).(*QueuedCall)
 	q.length--
 	q.now = max(q.now, t.virtual)
 	t.virtual += float64(w.Cost) / float64(max(1, w.Weight))
@@ -127,7 +127,7 @@
 }
 
 // Remove takes a call out that gave up waiting. A call that is not in the queue is left alone.
-func (q *Queue) Remove(w *Waiting) {
+func (q *Queue) Remove(w *QueuedCall) {
 	t := q.organisations[w.Organisation]
 	if t == nil || w.index < 0 || w.index >= len(t.calls) || t.calls[w.index] != w {
 		return
@@ -138,7 +138,7 @@
 }
 
 // Ahead returns how many calls of the same organisation and standing are to be served before one in the queue.
-func (q *Queue) Ahead(w *Waiting) int {
+func (q *Queue) Ahead(w *QueuedCall) int {
 	t := q.organisations[w.Organisation]
 	if t == nil {
 		return 0
@@ -171,7 +171,7 @@
 }
 
 // before tells whether a call goes before another of its organisation.
-func (w *Waiting) before(other *Waiting) bool {
+func (w *QueuedCall) before(other *QueuedCall) bool {
 	if w.Standing != other.Standing {
 		return w.Standing < other.Standing
 	}
@@ -185,7 +185,7 @@
 }
 
 // rank returns what a call is ordered by after its priority: lower goes first.
-func (w *Waiting) rank() float64 {
+func (w *QueuedCall) rank() float64 {
 	return log2(w.Attained+1)*agingTurns + float64(w.arrival)
 }
 
@@ -199,7 +199,7 @@
 	return float64(bits)
 }
 
-type callHeap []*Waiting
+type callHeap []*QueuedCall
 
 func (h callHeap) Len() int { return len(h) }
 func (h callHeap) Less(i, j int) bool {
@@ -210,7 +210,7 @@
 	h[i].index, h[j].index = i, j
 }
 func (h *callHeap) Push(x any) {
-	w := x.(*Waiting)
+	w := x.(*QueuedCall)
 	w.index = len(*h)
 	*h = append(*h, w)
 }
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -72,8 +72,8 @@
 func TestQueueByStanding(t *testing.T) {
 	var q policy.Queue
 	now := time.Unix(100, 0)
-	add := func(standing policy.QueueClass, due time.Time, priority int32) *policy.Waiting {
-		w := &policy.Waiting{Standing: standing, Due: due, Priority: priority, Weight: 1, Cost: 1}
+	add := func(standing policy.QueueClass, due time.Time, priority int32) *policy.QueuedCall {
+		w := &policy.QueuedCall{Standing: standing, Due: due, Priority: priority, Weight: 1, Cost: 1}
 		q.Push(w)
 		return w
 	}
@@ -86,7 +86,7 @@
 	lost := add(policy.NewLate, now, 9)
 	assert.Equal(t, q.Ahead(unknown), 2)
 	assert.Equal(t, q.Ahead(fresh), 1)
-	for i, want := range []*policy.Waiting{soon, later, unknown, behind, freshUrgent, fresh, lost} {
+	for i, want := range []*policy.QueuedCall{soon, later, unknown, behind, freshUrgent, fresh, lost} {
 		assert.Assert(t, q.Pop() == want, "place %d", i)
 	}
 	assert.Equal(t, policy.ClassOf(true, false), policy.StartedOnTime)
@@ -106,8 +106,8 @@
 			for i := range engines {
 				engines[i] = policy.Engine{InFlight: i % 8, Capacity: 16, CachedTokens: int64(i * 10)}
 			}
-			push := func(i int) *policy.Waiting {
-				w := &policy.Waiting{Standing: policy.QueueClass(i % 3), Due: time.Unix(int64(i%977), 0), Weight: 1, Cost: 1}
+			push := func(i int) *policy.QueuedCall {
+				w := &policy.QueuedCall{Standing: policy.QueueClass(i % 3), Due: time.Unix(int64(i%977), 0), Weight: 1, Cost: 1}
 				q.Push(w)
 				return w
 			}
--- a/internal/rookpassd/backend/pool.go
+++ b/internal/rookpassd/backend/pool.go
@@ -80,7 +80,7 @@
 }
 
 // enter grants a place at once or queues the call. A refusal is immediate.
-func (p *pool) enter(a *ask) (*policy.Waiting, error) {
+func (p *pool) enter(a *ask) (*policy.QueuedCall, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.usable(a) {
@@ -89,7 +89,7 @@
 	if p.queue.Len() >= maxQueued || p.queue.LenOf(a.organisation) >= maxQueuedPerOrganisation {
 		return nil, verdict.ComeBack(verdict.Overloaded, busyRetry, "too many calls wait")
 	}
-	waiting := &policy.Waiting{
+	waiting := &policy.QueuedCall{
 		Organisation: a.organisation, Weight: a.weight, Priority: a.priority,
 		Attained: a.attained, Cost: a.costTokens, Value: a,
 	}
@@ -148,7 +148,7 @@
 }
 
 // leave takes a call out of the queue whose caller stopped waiting. A place granted meanwhile goes back.
-func (p *pool) leave(a *ask, waiting *policy.Waiting) {
+func (p *pool) leave(a *ask, waiting *policy.QueuedCall) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queue.Remove(waiting)
