--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -183,7 +183,7 @@
 // inTime tells whether a waiting call can expect its turn before it is of no use.
 func (g *Gate) inTime(l *line, w *waiter, now time.Time) bool {
 	left, rate := w.call.Until.Add(-w.call.Alone).Sub(now), l.all.read(now)
-	if w.queued.Standing == policy.NewOnTime {
+	if w.queued.Class == policy.NewOnTime {
 		rate = l.fresh.read(now)
 		if late := g.lateAtLocked(w.call); !late.IsZero() {
 			left = min(left, late.Sub(now))
@@ -214,7 +214,7 @@
 func (g *Gate) push(l *line, w *waiter, now time.Time) {
 	late := g.lateAtLocked(w.call)
 	w.queued = &policy.QueuedCall{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, Due: late,
-		Standing: policy.ClassOf(w.call.Begun, !late.IsZero() && !now.Before(late))}
+		Class: policy.ClassOf(w.call.Begun, !late.IsZero() && !now.Before(late))}
 	l.queue.Push(w.queued)
 }
 
@@ -225,7 +225,7 @@
 		now := time.Now()
 		l.running++
 		l.all.add(now)
-		if next.Standing == policy.NewOnTime {
+		if next.Class == policy.NewOnTime {
 			l.fresh.add(now)
 		}
 		close(next.Value.(*waiter).granted)
--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -39,10 +39,10 @@
 	Organisation string
 	// Weight is the organisation's share of busy engines; at least 1.
 	Weight int32
-	// Standing and Due come before priority: of OnTime calls the one goes first whose program has the least time to
+	// Class and Due come before priority: of OnTime calls the one goes first whose program has the least time to
 	// lose. Due is from when on that program can't end in time; zero where that is not known.
-	Standing QueueClass
-	Due      time.Time
+	Class QueueClass
+	Due   time.Time
 	// Priority is the program's, 0 to 9.
 	Priority int32
 	// Attained is the service in tokens that the whole program has had.
@@ -145,7 +145,7 @@
 	}
 	n := 0
 	for _, other := range t.calls {
-		if other.Standing == w.Standing && other != w && other.before(w) {
+		if other.Class == w.Class && other != w && other.before(w) {
 			n++
 		}
 	}
@@ -172,10 +172,10 @@
 
 // before tells whether a call goes before another of its organisation.
 func (w *QueuedCall) before(other *QueuedCall) bool {
-	if w.Standing != other.Standing {
-		return w.Standing < other.Standing
+	if w.Class != other.Class {
+		return w.Class < other.Class
 	}
-	if w.Standing == StartedOnTime && !w.Due.Equal(other.Due) {
+	if w.Class == StartedOnTime && !w.Due.Equal(other.Due) {
 		return other.Due.IsZero() || !w.Due.IsZero() && w.Due.Before(other.Due)
 	}
 	if w.Priority != other.Priority {
