--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -213,7 +213,7 @@
 // push queues a call by how its program stands.
 func (g *Gate) push(l *line, w *waiter, now time.Time) {
 	late := g.lateAtLocked(w.call)
-	w.queued = &policy.QueuedCall{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, Due: late,
+	w.queued = &policy.QueuedCall{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, LatestStart: late,
 		Class: policy.ClassOf(w.call.Begun, !late.IsZero() && !now.Before(late))}
 	l.queue.Push(w.queued)
 }
--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -41,8 +41,8 @@
 	Weight int32
 	// Class and Due come before priority: of OnTime calls the one goes first whose program has the least time to
 	// lose. Due is from when on that program can't end in time; zero where that is not known.
-	Class QueueClass
-	Due   time.Time
+	Class       QueueClass
+	LatestStart time.Time
 	// Priority is the program's, 0 to 9.
 	Priority int32
 	// Attained is the service in tokens that the whole program has had.
@@ -175,8 +175,8 @@
 	if w.Class != other.Class {
 		return w.Class < other.Class
 	}
-	if w.Class == StartedOnTime && !w.Due.Equal(other.Due) {
-		return other.Due.IsZero() || !w.Due.IsZero() && w.Due.Before(other.Due)
+	if w.Class == StartedOnTime && !w.LatestStart.Equal(other.LatestStart) {
+		return other.LatestStart.IsZero() || !w.LatestStart.IsZero() && w.LatestStart.Before(other.LatestStart)
 	}
 	if w.Priority != other.Priority {
 		return w.Priority > other.Priority
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -73,7 +73,7 @@
 	var q policy.Queue
 	now := time.Unix(100, 0)
 	add := func(standing policy.QueueClass, due time.Time, priority int32) *policy.QueuedCall {
-		w := &policy.QueuedCall{Class: standing, Due: due, Priority: priority, Weight: 1, Cost: 1}
+		w := &policy.QueuedCall{Class: standing, LatestStart: due, Priority: priority, Weight: 1, Cost: 1}
 		q.Push(w)
 		return w
 	}
@@ -107,7 +107,7 @@
 				engines[i] = policy.Engine{InFlight: i % 8, Capacity: 16, CachedTokens: int64(i * 10)}
 			}
 			push := func(i int) *policy.QueuedCall {
-				w := &policy.QueuedCall{Class: policy.QueueClass(i % 3), Due: time.Unix(int64(i%977), 0), Weight: 1, Cost: 1}
+				w := &policy.QueuedCall{Class: policy.QueueClass(i % 3), LatestStart: time.Unix(int64(i%977), 0), Weight: 1, Cost: 1}
 				q.Push(w)
 				return w
 			}
