--- a/internal/decide/policy/most.go
+++ b/internal/decide/policy/most.go
@@ -5,15 +5,15 @@
 // mostMemory is how long a larger number holds.
 const mostMemory = 10 * time.Second
 
-// Most is the largest of the numbers seen of late: where it counts daemons, those that are away for a while count, and one
+// RecentMax is the largest of the numbers seen of late: where it counts daemons, those that are away for a while count, and one
 // that knows few others for now does not lower it. The zero value is ready for use.
-type Most struct {
+type RecentMax struct {
 	n  int
 	at time.Time
 }
 
 // Observe takes a number into account and returns the largest of late.
-func (m *Most) Observe(now time.Time, n int) int {
+func (m *RecentMax) Observe(now time.Time, n int) int {
 	if n >= m.n || now.Sub(m.at) > mostMemory {
 		m.n, m.at = n, now
 	}
@@ -21,4 +21,4 @@
 }
 
 // Read returns the largest number of late.
-func (m *Most) Read() int { return m.n }
+func (m *RecentMax) Read() int { return m.n }
--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -112,7 +112,7 @@
 	calls  map[string]int
 	demand map[string]*policy.Peak
 	// daemons is the most of late that there were, this one among them.
-	daemons policy.Most
+	daemons policy.RecentMax
 	// demandKnown tells that other daemons have told of theirs.
 	demandKnown bool
 	// othersMean is the mean of the others' calls on a server; reportedAt is when this daemon last told of its own.
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -294,7 +294,7 @@
 // exchange swaps what this daemon has seen for what the others have, at the first hub that answers.
 func (f *front) exchange(ctx context.Context) error {
 	place, moved, here := 0, time.Now(), 0
-	var daemons policy.Most
+	var daemons policy.RecentMax
 	for wait.For(ctx, exchange.PauseFor(here)) == nil {
 		l := f.ledger.Layout()
 		if l == nil {
