--- a/internal/decide/policy/width.go
+++ b/internal/decide/policy/width.go
@@ -24,21 +24,21 @@
 // peakMemory is the time in which a peak falls to a third.
 const peakMemory = 10 * time.Second
 
-// Peak is the most that a value has been of late: it rises at once and falls slowly. The zero value is ready for use.
-type Peak struct {
+// DecayingMax is the most that a value has been of late: it rises at once and falls slowly. The zero value is ready for use.
+type DecayingMax struct {
 	value float64
 	at    time.Time
 }
 
 // Observe takes a value into account.
-func (p *Peak) Observe(now time.Time, value float64) {
+func (p *DecayingMax) Observe(now time.Time, value float64) {
 	if value >= p.Read(now) {
 		p.value, p.at = value, now
 	}
 }
 
 // Read returns the peak.
-func (p *Peak) Read(now time.Time) float64 {
+func (p *DecayingMax) Read(now time.Time) float64 {
 	if p.at.IsZero() {
 		return 0
 	}
--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -110,7 +110,7 @@
 	peers int
 	// calls are this daemon's under way at servers, by service; demand is the most of late that all daemons had.
 	calls  map[string]int
-	demand map[string]*policy.Peak
+	demand map[string]*policy.DecayingMax
 	// daemons is the most of late that there were, this one among them.
 	daemons policy.RecentMax
 	// demandKnown tells that other daemons have told of theirs.
@@ -123,7 +123,7 @@
 // New returns a balancer of a daemon at a place.
 func New(name string, at place.Map) *Balancer {
 	return &Balancer{name: name, place: at, began: time.Now(), states: map[incarnation.ID]*state{}, means: map[string]float64{}, heads: map[string]float64{},
-		ways: map[string]float64{}, models: map[string]*policy.CostModel{}, calls: map[string]int{}, demand: map[string]*policy.Peak{}}
+		ways: map[string]float64{}, models: map[string]*policy.CostModel{}, calls: map[string]int{}, demand: map[string]*policy.DecayingMax{}}
 }
 
 // Ask is what a choice depends on.
--- a/internal/front/balance/width.go
+++ b/internal/front/balance/width.go
@@ -37,10 +37,10 @@
 }
 
 // peak returns the most calls of late that were under way or waiting at a service.
-func (b *Balancer) peak(service string) *policy.Peak {
+func (b *Balancer) peak(service string) *policy.DecayingMax {
 	p := b.demand[service]
 	if p == nil {
-		p = &policy.Peak{}
+		p = &policy.DecayingMax{}
 		b.demand[service] = p
 	}
 	return p
