--- a/internal/decide/policy/pace.go
+++ b/internal/decide/policy/pace.go
@@ -1,9 +1,9 @@
 package policy
 
-// Pace is how long a server's answers take against what like calls take at all servers of its kind: a moving mean of these
+// RelativeLatency is how long a server's answers take against what like calls take at all servers of its kind: a moving mean of these
 // ratios, which counts as 1 before the first. Answers of one kind are compared: a server that has just had three calls of 312 ms
 // is no slower than one that had three of 78 ms. The zero value is ready for use.
-type Pace struct {
+type RelativeLatency struct {
 	// surplus is the mean ratio less 1.
 	surplus float64
 }
@@ -19,7 +19,7 @@
 )
 
 // Observe takes an answer into account that took so many seconds, where like calls usually take usual; 0 where that is not known.
-func (p *Pace) Observe(seconds, usual float64) {
+func (p *RelativeLatency) Observe(seconds, usual float64) {
 	if usual <= 0 {
 		return
 	}
@@ -27,10 +27,10 @@
 }
 
 // Ratio returns the mean ratio.
-func (p *Pace) Ratio() float64 { return 1 + p.surplus }
+func (p *RelativeLatency) Ratio() float64 { return 1 + p.surplus }
 
 // Slowness returns by which factor the server counts worse than others: 1 unless it is clearly slower.
-func (p *Pace) Slowness() float64 {
+func (p *RelativeLatency) Slowness() float64 {
 	if p.Ratio() <= usualSpread {
 		return 1
 	}
--- a/internal/decide/policy/pace_test.go
+++ b/internal/decide/policy/pace_test.go
@@ -17,7 +17,7 @@
 	usual := []float64{0.078, 0.312, 0.208}
 	slow, answers := 0, 0
 	for range 145 {
-		var p policy.Pace
+		var p policy.RelativeLatency
 		for range 50 {
 			mean := usual[random.IntN(len(usual))]
 			p.Observe(mean*math.Exp(sigma*random.NormFloat64()-sigma*sigma/2), mean)
@@ -31,7 +31,7 @@
 }
 
 func TestServerThatTurnsSlowIsNoticedSoon(t *testing.T) {
-	var p policy.Pace
+	var p policy.RelativeLatency
 	for range 20 {
 		p.Observe(0.1, 0.1)
 	}
@@ -51,7 +51,7 @@
 }
 
 func TestPaceNeedsAComparison(t *testing.T) {
-	var p policy.Pace
+	var p policy.RelativeLatency
 	p.Observe(5, 0)
 	assert.Equal(t, p.Ratio(), 1.0)
 }
--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -70,7 +70,7 @@
 	ejectedUntil time.Time
 	busyUntil    time.Time
 	// pace is how its answers' times compare with those of the same routes at all servers.
-	pace policy.Pace
+	pace policy.RelativeLatency
 	// waiting holds when the requests were sent whose answers have not begun, the oldest first.
 	waiting []time.Time
 	// waitingRoute is the route of the newest of them.
