--- a/internal/decide/policy/pace.go
+++ b/internal/decide/policy/pace.go
@@ -29,8 +29,8 @@
 // Ratio returns the mean ratio.
 func (p *RelativeLatency) Ratio() float64 { return 1 + p.surplus }
 
-// Slowness returns by which factor the server counts worse than others: 1 unless it is clearly slower.
-func (p *RelativeLatency) Slowness() float64 {
+// CostFactor returns by which factor the server counts worse than others: 1 unless it is clearly slower.
+func (p *RelativeLatency) CostFactor() float64 {
 	if p.Ratio() <= usualSpread {
 		return 1
 	}
--- a/internal/decide/policy/pace_test.go
+++ b/internal/decide/policy/pace_test.go
@@ -22,7 +22,7 @@
 			mean := usual[random.IntN(len(usual))]
 			p.Observe(mean*math.Exp(sigma*random.NormFloat64()-sigma*sigma/2), mean)
 			answers++
-			if p.Slowness() > 1 {
+			if p.CostFactor() > 1 {
 				slow++
 			}
 		}
@@ -35,19 +35,19 @@
 	for range 20 {
 		p.Observe(0.1, 0.1)
 	}
-	assert.Equal(t, p.Slowness(), 1.0)
+	assert.Equal(t, p.CostFactor(), 1.0)
 	for range 2 {
 		p.Observe(0.5, 0.1)
 	}
-	assert.Assert(t, p.Slowness() > 1.5, "%v", p.Slowness())
+	assert.Assert(t, p.CostFactor() > 1.5, "%v", p.CostFactor())
 	for range 50 {
 		p.Observe(5, 0.1)
 	}
-	assert.Equal(t, p.Slowness(), 6.0)
+	assert.Equal(t, p.CostFactor(), 6.0)
 	for range 40 {
 		p.Observe(0.1, 0.1)
 	}
-	assert.Equal(t, p.Slowness(), 1.0)
+	assert.Equal(t, p.CostFactor(), 1.0)
 }
 
 func TestPaceNeedsAComparison(t *testing.T) {
--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -279,7 +279,7 @@
 func (b *Balancer) cost(ask *Ask, server *catalog.Server, s *state) float64 {
 	remote, away := b.place.To(server.DataCentre) != place.Here, b.away(server.DataCentre)
 	connect := ask.Connected != nil && !ask.Connected(server)
-	slowness := s.pace.Slowness()
+	slowness := s.pace.CostFactor()
 	if ask.PromptTokens == 0 {
 		requests := float64(s.inFlight + 1)
 		if remote {
