--- a/internal/decide/policy/width.go
+++ b/internal/decide/policy/width.go
@@ -12,12 +12,12 @@
 	serversPerCall = 1.5
 )
 
-// Width returns to how many servers of a service the daemons of one data centre turn, where all daemons together have so
+// SubsetSize returns to how many servers of a service the daemons of one data centre turn, where all daemons together have so
 // many calls there and its servers stand in so many data centres. It follows the work and not the size of the service: what
 // a server must read before its first turn, and a connection to it, are paid for by many turns.
 //
 // It answers a light load before many servers; where servers are fewer than calls it leaves none out.
-func Width(calls float64, dataCentres int) int {
+func SubsetSize(calls float64, dataCentres int) int {
 	return max(leastWidth, int(math.Ceil(serversPerCall*calls/float64(max(1, dataCentres)))))
 }
 
--- a/internal/front/balance/width.go
+++ b/internal/front/balance/width.go
@@ -33,7 +33,7 @@
 	service := ask.Servers[0].Service
 	demand := b.peak(service)
 	demand.Observe(now, float64(b.calls[service]))
-	return policy.Width(demand.Read(now), ask.DataCentres)
+	return policy.SubsetSize(demand.Read(now), ask.DataCentres)
 }
 
 // peak returns the most calls of late that were under way or waiting at a service.
