--- a/internal/decide/policy/cold.go
+++ b/internal/decide/policy/cold.go
@@ -14,25 +14,25 @@
 	coldWindow = 200 * time.Millisecond
 )
 
-// ColdTurn spreads what all daemons send to a cold server over time, so that together they stay below what it bears in
+// ColdSendWindow spreads what all daemons send to a cold server over time, so that together they stay below what it bears in
 // every second: each has a short turn now and then, at a time that its name and the server's give, and sends one request in it.
 //
 // It answers servers that all start at once, with nothing warm beside them.
-type ColdTurn struct {
+type ColdSendWindow struct {
 	Daemon, Server string
 	// Daemons is how many send to the server, PerSecond what it bears.
 	Daemons, PerSecond float64
 }
 
 // period returns the time from one turn to the next.
-func (c ColdTurn) period() time.Duration {
+func (c ColdSendWindow) period() time.Duration {
 	seconds := max(1, c.Daemons) / (coldShare * c.PerSecond)
 	return max(2*coldWindow, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
 // Open tells whether a turn is open at a time, by a steady clock of the daemon's, and has not been used by the request that
 // went last so long ago.
-func (c ColdTurn) Open(at, sinceLast time.Duration) bool {
+func (c ColdSendWindow) Open(at, sinceLast time.Duration) bool {
 	if c.PerSecond <= 0 {
 		return false
 	}
--- a/internal/front/balance/cold.go
+++ b/internal/front/balance/cold.go
@@ -13,6 +13,6 @@
 	if !b.demandKnown {
 		return false
 	}
-	turn := policy.ColdTurn{Daemon: b.name, Server: server.ID.String(), Daemons: float64(b.daemons.Read()), PerSecond: ask.ColdPerSecond}
+	turn := policy.ColdSendWindow{Daemon: b.name, Server: server.ID.String(), Daemons: float64(b.daemons.Read()), PerSecond: ask.ColdPerSecond}
 	return turn.Open(now.Sub(b.began), now.Sub(b.seen(server.ID).coldSent))
 }
