--- a/internal/decide/policy/lapse.go
+++ b/internal/decide/policy/lapse.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Lapse tells how entries behave that their owners renew, and that a store drops where they don't.
-type Lapse struct {
+// LeaseExpiry tells how entries behave that their owners renew, and that a store drops where they don't.
+type LeaseExpiry struct {
 	// After is the shortest outage of the store in which the entry of a live owner can lapse.
 	After time.Duration
 	// Renewal is within which of the store's return a live owner has renewed its entry, and word of it is here.
@@ -19,14 +19,14 @@
 )
 
 // NewLapse returns what holds for owners that renew their entries every heartbeat.
-func NewLapse(heartbeat time.Duration) Lapse {
-	return Lapse{After: time.Duration(lapseBeats * float64(heartbeat)), Renewal: renewalTime}
+func NewLapse(heartbeat time.Duration) LeaseExpiry {
+	return LeaseExpiry{After: time.Duration(lapseBeats * float64(heartbeat)), Renewal: renewalTime}
 }
 
 // HeldUntil returns until when missing entries count as those of live owners, where the store's word of last is
 // followed by that of again; the zero time where too little time has passed for entries to lapse. It goes by the age
 // of what is known, not by the time for which the store was noticed to be away: one that is silent is noticed late.
-func (l Lapse) HeldUntil(last, again time.Time) time.Time {
+func (l LeaseExpiry) HeldUntil(last, again time.Time) time.Time {
 	if again.Sub(last) < l.After {
 		return time.Time{}
 	}
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -23,7 +23,7 @@
 	// Prefix is the part of a key before a server's name.
 	Prefix string
 	Decode DecodeServer
-	Lapse  policy.Lapse
+	Lapse  policy.LeaseExpiry
 	Log    logrus.FieldLogger
 	// Refused is told of each entry that names no server to use, Started of each start of a server that is new here.
 	// Both are called with the handler locked; nil where nobody asks.
