--- a/internal/decide/policy/lapse.go
+++ b/internal/decide/policy/lapse.go
@@ -18,8 +18,8 @@
 	renewalTime = 2200 * time.Millisecond
 )
 
-// NewLapse returns what holds for owners that renew their entries every heartbeat.
-func NewLapse(heartbeat time.Duration) LeaseExpiry {
+// NewLeaseExpiry returns what holds for owners that renew their entries every heartbeat.
+func NewLeaseExpiry(heartbeat time.Duration) LeaseExpiry {
 	return LeaseExpiry{After: time.Duration(lapseBeats * float64(heartbeat)), Renewal: renewalTime}
 }
 
--- a/internal/decide/policy/lapse_test.go
+++ b/internal/decide/policy/lapse_test.go
@@ -11,7 +11,7 @@
 
 // TestHeldUntil: entries are held after outages in which they can lapse, from the store's own first word on.
 func TestHeldUntil(t *testing.T) {
-	lapse := policy.NewLapse(1200 * time.Millisecond)
+	lapse := policy.NewLeaseExpiry(1200 * time.Millisecond)
 	now := time.Now()
 	for _, row := range []struct {
 		gap  time.Duration
