--- a/internal/decide/policy/lapse.go
+++ b/internal/decide/policy/lapse.go
@@ -23,10 +23,10 @@
 	return LeaseExpiry{After: time.Duration(lapseBeats * float64(heartbeat)), Renewal: renewalTime}
 }
 
-// HeldUntil returns until when missing entries count as those of live owners, where the store's word of last is
+// GraceUntil returns until when missing entries count as those of live owners, where the store's word of last is
 // followed by that of again; the zero time where too little time has passed for entries to lapse. It goes by the age
 // of what is known, not by the time for which the store was noticed to be away: one that is silent is noticed late.
-func (l LeaseExpiry) HeldUntil(last, again time.Time) time.Time {
+func (l LeaseExpiry) GraceUntil(last, again time.Time) time.Time {
 	if again.Sub(last) < l.After {
 		return time.Time{}
 	}
--- a/internal/decide/policy/lapse_test.go
+++ b/internal/decide/policy/lapse_test.go
@@ -23,11 +23,11 @@
 		{2200 * time.Millisecond, true},  // two heartbeats, roughly
 		{time.Hour, true},
 	} {
-		until := lapse.HeldUntil(now.Add(-row.gap), now)
+		until := lapse.GraceUntil(now.Add(-row.gap), now)
 		assert.Equal(t, !until.IsZero(), row.held, "%v", row.gap)
 		if row.held {
 			assert.Equal(t, until.Sub(now), 2200*time.Millisecond)
 		}
 	}
-	assert.Assert(t, !lapse.HeldUntil(time.Time{}, now).IsZero(), "nothing certain was ever known")
+	assert.Assert(t, !lapse.GraceUntil(time.Time{}, now).IsZero(), "nothing certain was ever known")
 }
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -136,7 +136,7 @@
 // regain notes the end of an outage, and decides on the entries that are missing. It is called with the lock held.
 func (h *ServersHandler) regain(at time.Time) {
 	h.lost = false
-	if holding := h.Lapse.HeldUntil(h.confirmed, at); holding.After(h.holding) {
+	if holding := h.Lapse.GraceUntil(h.confirmed, at); holding.After(h.holding) {
 		// A short outage right behind a long one does not end what is held over the long one.
 		h.holding = holding
 	}
