--- a/internal/decide/policy/lapse.go
+++ b/internal/decide/policy/lapse.go
@@ -4,8 +4,8 @@
 
 // LeaseExpiry tells how entries behave that their owners renew, and that a store drops where they don't.
 type LeaseExpiry struct {
-	// After is the shortest outage of the store in which the entry of a live owner can lapse.
-	After time.Duration
+	// MinOutage is the shortest outage of the store in which the entry of a live owner can lapse.
+	MinOutage time.Duration
 	// Renewal is within which of the store's return a live owner has renewed its entry, and word of it is here.
 	Renewal time.Duration
 }
@@ -20,14 +20,14 @@
 
 // NewLeaseExpiry returns what holds for owners that renew their entries every heartbeat.
 func NewLeaseExpiry(heartbeat time.Duration) LeaseExpiry {
-	return LeaseExpiry{After: time.Duration(lapseBeats * float64(heartbeat)), Renewal: renewalTime}
+	return LeaseExpiry{MinOutage: time.Duration(lapseBeats * float64(heartbeat)), Renewal: renewalTime}
 }
 
 // GraceUntil returns until when missing entries count as those of live owners, where the store's word of last is
 // followed by that of again; the zero time where too little time has passed for entries to lapse. It goes by the age
 // of what is known, not by the time for which the store was noticed to be away: one that is silent is noticed late.
 func (l LeaseExpiry) GraceUntil(last, again time.Time) time.Time {
-	if again.Sub(last) < l.After {
+	if again.Sub(last) < l.MinOutage {
 		return time.Time{}
 	}
 	return again.Add(l.Renewal)
