--- a/internal/decide/policy/proof.go
+++ b/internal/decide/policy/proof.go
@@ -22,13 +22,13 @@
 	return ProofBounds{Accept: withdrawal - time.Duration(acceptMargin*float64(withdrawal)), Deny: change}
 }
 
-// Proof is what a daemon may say of a caller's key.
-type Proof int
+// KeyStatus is what a daemon may say of a caller's key.
+type KeyStatus int
 
 // The proofs.
 const (
 	// Unproved keys may or may not be in force: nobody may say that they are not, nor act as if they were.
-	Unproved Proof = iota
+	Unproved KeyStatus = iota
 	// Proved keys are an organisation's.
 	Proved
 	// Denied keys are nobody's.
@@ -36,7 +36,7 @@
 )
 
 // Of returns what may be said of a key that a configuration of an age has, or has not.
-func (b ProofBounds) Of(known bool, age time.Duration) Proof {
+func (b ProofBounds) Of(known bool, age time.Duration) KeyStatus {
 	switch {
 	case b.Accept > 0 && age > b.Accept:
 		return Unproved
--- a/internal/decide/policy/proof_test.go
+++ b/internal/decide/policy/proof_test.go
@@ -15,7 +15,7 @@
 	for _, c := range []struct {
 		known bool
 		age   time.Duration
-		want  policy.Proof
+		want  policy.KeyStatus
 	}{
 		{true, 0, policy.Proved},
 		{true, 4700 * time.Millisecond, policy.Proved},
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -47,7 +47,7 @@
 }
 
 // refusalOfProof returns what a caller is told whose key is not proved.
-func refusalOfProof(p policy.Proof) *refusal {
+func refusalOfProof(p policy.KeyStatus) *refusal {
 	switch p {
 	case policy.Proved:
 		return nil
