--- a/internal/decide/policy/proof.go
+++ b/internal/decide/policy/proof.go
@@ -27,8 +27,8 @@
 
 // The proofs.
 const (
-	// Unproved keys may or may not be in force: nobody may say that they are not, nor act as if they were.
-	Unproved KeyStatus = iota
+	// KeyUnknown keys may or may not be in force: nobody may say that they are not, nor act as if they were.
+	KeyUnknown KeyStatus = iota
 	// Proved keys are an organisation's.
 	Proved
 	// Denied keys are nobody's.
@@ -39,11 +39,11 @@
 func (b ProofBounds) Of(known bool, age time.Duration) KeyStatus {
 	switch {
 	case b.Accept > 0 && age > b.Accept:
-		return Unproved
+		return KeyUnknown
 	case known:
 		return Proved
 	case b.Deny > 0 && age > b.Deny:
-		return Unproved
+		return KeyUnknown
 	default:
 		return Denied
 	}
--- a/internal/decide/policy/proof_test.go
+++ b/internal/decide/policy/proof_test.go
@@ -19,12 +19,12 @@
 	}{
 		{true, 0, policy.Proved},
 		{true, 4700 * time.Millisecond, policy.Proved},
-		{true, 4800 * time.Millisecond, policy.Unproved}, // it may have been withdrawn almost 5 s ago
-		{true, math.MaxInt64, policy.Unproved},
+		{true, 4800 * time.Millisecond, policy.KeyUnknown}, // it may have been withdrawn almost 5 s ago
+		{true, math.MaxInt64, policy.KeyUnknown},
 		{false, 0, policy.Denied},
 		{false, 2900 * time.Millisecond, policy.Denied},
-		{false, 3100 * time.Millisecond, policy.Unproved}, // it may have been added 3 s ago
-		{false, math.MaxInt64, policy.Unproved},
+		{false, 3100 * time.Millisecond, policy.KeyUnknown}, // it may have been added 3 s ago
+		{false, math.MaxInt64, policy.KeyUnknown},
 	} {
 		assert.Equal(t, bounds.Of(c.known, c.age), c.want, "known %t, %v old", c.known, c.age)
 	}
