--- a/internal/decide/policy/proof.go
+++ b/internal/decide/policy/proof.go
@@ -29,8 +29,8 @@
 const (
 	// KeyUnknown keys may or may not be in force: nobody may say that they are not, nor act as if they were.
 	KeyUnknown KeyStatus = iota
-	// Proved keys are an organisation's.
-	Proved
+	// KeyValid keys are an organisation's.
+	KeyValid
 	// Denied keys are nobody's.
 	Denied
 )
@@ -41,7 +41,7 @@
 	case b.Accept > 0 && age > b.Accept:
 		return KeyUnknown
 	case known:
-		return Proved
+		return KeyValid
 	case b.Deny > 0 && age > b.Deny:
 		return KeyUnknown
 	default:
--- a/internal/decide/policy/proof_test.go
+++ b/internal/decide/policy/proof_test.go
@@ -17,8 +17,8 @@
 		age   time.Duration
 		want  policy.KeyStatus
 	}{
-		{true, 0, policy.Proved},
-		{true, 4700 * time.Millisecond, policy.Proved},
+		{true, 0, policy.KeyValid},
+		{true, 4700 * time.Millisecond, policy.KeyValid},
 		{true, 4800 * time.Millisecond, policy.KeyUnknown}, // it may have been withdrawn almost 5 s ago
 		{true, math.MaxInt64, policy.KeyUnknown},
 		{false, 0, policy.Denied},
@@ -29,6 +29,6 @@
 		assert.Equal(t, bounds.Of(c.known, c.age), c.want, "known %t, %v old", c.known, c.age)
 	}
 	unbounded := policy.NewProofBounds(0, 0)
-	assert.Equal(t, unbounded.Of(true, math.MaxInt64), policy.Proved, "where withdrawals need not be in force at once")
+	assert.Equal(t, unbounded.Of(true, math.MaxInt64), policy.KeyValid, "where withdrawals need not be in force at once")
 	assert.Equal(t, unbounded.Of(false, math.MaxInt64), policy.Denied)
 }
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -49,7 +49,7 @@
 // refusalOfProof returns what a caller is told whose key is not proved.
 func refusalOfProof(p policy.KeyStatus) *refusal {
 	switch p {
-	case policy.Proved:
+	case policy.KeyValid:
 		return nil
 	case policy.Denied:
 		return &refusal{status: http.StatusUnauthorized, reason: "key-unknown"}
