--- a/internal/decide/policy/proof.go
+++ b/internal/decide/policy/proof.go
@@ -31,8 +31,8 @@
 	KeyUnknown KeyStatus = iota
 	// KeyValid keys are an organisation's.
 	KeyValid
-	// Denied keys are nobody's.
-	Denied
+	// KeyInvalid keys are nobody's.
+	KeyInvalid
 )
 
 // Of returns what may be said of a key that a configuration of an age has, or has not.
@@ -45,6 +45,6 @@
 	case b.Deny > 0 && age > b.Deny:
 		return KeyUnknown
 	default:
-		return Denied
+		return KeyInvalid
 	}
 }
--- a/internal/decide/policy/proof_test.go
+++ b/internal/decide/policy/proof_test.go
@@ -21,8 +21,8 @@
 		{true, 4700 * time.Millisecond, policy.KeyValid},
 		{true, 4800 * time.Millisecond, policy.KeyUnknown}, // it may have been withdrawn almost 5 s ago
 		{true, math.MaxInt64, policy.KeyUnknown},
-		{false, 0, policy.Denied},
-		{false, 2900 * time.Millisecond, policy.Denied},
+		{false, 0, policy.KeyInvalid},
+		{false, 2900 * time.Millisecond, policy.KeyInvalid},
 		{false, 3100 * time.Millisecond, policy.KeyUnknown}, // it may have been added 3 s ago
 		{false, math.MaxInt64, policy.KeyUnknown},
 	} {
@@ -30,5 +30,5 @@
 	}
 	unbounded := policy.NewProofBounds(0, 0)
 	assert.Equal(t, unbounded.Of(true, math.MaxInt64), policy.KeyValid, "where withdrawals need not be in force at once")
-	assert.Equal(t, unbounded.Of(false, math.MaxInt64), policy.Denied)
+	assert.Equal(t, unbounded.Of(false, math.MaxInt64), policy.KeyInvalid)
 }
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -51,7 +51,7 @@
 	switch p {
 	case policy.KeyValid:
 		return nil
-	case policy.Denied:
+	case policy.KeyInvalid:
 		return &refusal{status: http.StatusUnauthorized, reason: "key-unknown"}
 	default:
 		return &refusal{status: http.StatusServiceUnavailable, reason: "key-unproved", retryAfter: jitter(retryUnproved)}
