--- a/internal/decide/policy/proof.go
+++ b/internal/decide/policy/proof.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ProofBounds tell how old a daemon's configuration may be to accept a caller's key, and to deny one. Zero is no bound.
-type ProofBounds struct {
+// ConfigAgeLimits tell how old a daemon's configuration may be to accept a caller's key, and to deny one. Zero is no bound.
+type ConfigAgeLimits struct {
 	// Accept: a key that was withdrawn longer ago must not be accepted, so a daemon that may have missed its withdrawal
 	// accepts none.
 	Accept time.Duration
@@ -18,8 +18,8 @@
 
 // NewProofBounds returns the bounds for a withdrawal that must be in force after a time everywhere, and for a change that
 // must be in force after a time at daemons in touch; 0 where there is no such bound.
-func NewProofBounds(withdrawal, change time.Duration) ProofBounds {
-	return ProofBounds{Accept: withdrawal - time.Duration(acceptMargin*float64(withdrawal)), Deny: change}
+func NewProofBounds(withdrawal, change time.Duration) ConfigAgeLimits {
+	return ConfigAgeLimits{Accept: withdrawal - time.Duration(acceptMargin*float64(withdrawal)), Deny: change}
 }
 
 // KeyStatus is what a daemon may say of a caller's key.
@@ -36,7 +36,7 @@
 )
 
 // Of returns what may be said of a key that a configuration of an age has, or has not.
-func (b ProofBounds) Of(known bool, age time.Duration) KeyStatus {
+func (b ConfigAgeLimits) Of(known bool, age time.Duration) KeyStatus {
 	switch {
 	case b.Accept > 0 && age > b.Accept:
 		return KeyUnknown
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -63,7 +63,7 @@
 	// bodies are the bytes that bodies of requests may hold together.
 	bodies   *semaphore.Weighted
 	gate     *dispatch.Gate
-	proofs   policy.ProofBounds
+	proofs   policy.ConfigAgeLimits
 	quotas   Quotas
 	steps    []step
 	stopping atomic.Bool
@@ -84,7 +84,7 @@
 	// BodyBytes bounds what bodies of requests hold together, in bytes.
 	BodyBytes int64
 	// Proofs are how old the configuration may be by which callers' keys are judged.
-	Proofs policy.ProofBounds
+	Proofs policy.ConfigAgeLimits
 	// Quotas grants requests of organisations that have a limit.
 	Quotas Quotas
 }
