--- a/internal/decide/policy/proof.go
+++ b/internal/decide/policy/proof.go
@@ -16,9 +16,9 @@
 // thousandth at most, and the time between the decision and its being carried out.
 const acceptMargin = 0.05
 
-// NewProofBounds returns the bounds for a withdrawal that must be in force after a time everywhere, and for a change that
+// NewConfigAgeLimits returns the bounds for a withdrawal that must be in force after a time everywhere, and for a change that
 // must be in force after a time at daemons in touch; 0 where there is no such bound.
-func NewProofBounds(withdrawal, change time.Duration) ConfigAgeLimits {
+func NewConfigAgeLimits(withdrawal, change time.Duration) ConfigAgeLimits {
 	return ConfigAgeLimits{Accept: withdrawal - time.Duration(acceptMargin*float64(withdrawal)), Deny: change}
 }
 
--- a/internal/decide/policy/proof_test.go
+++ b/internal/decide/policy/proof_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestProofOfAKey(t *testing.T) {
-	bounds := policy.NewProofBounds(5*time.Second, 3*time.Second)
+	bounds := policy.NewConfigAgeLimits(5*time.Second, 3*time.Second)
 	for _, c := range []struct {
 		known bool
 		age   time.Duration
@@ -28,7 +28,7 @@
 	} {
 		assert.Equal(t, bounds.Of(c.known, c.age), c.want, "known %t, %v old", c.known, c.age)
 	}
-	unbounded := policy.NewProofBounds(0, 0)
+	unbounded := policy.NewConfigAgeLimits(0, 0)
 	assert.Equal(t, unbounded.Of(true, math.MaxInt64), policy.KeyValid, "where withdrawals need not be in force at once")
 	assert.Equal(t, unbounded.Of(false, math.MaxInt64), policy.KeyInvalid)
 }
