--- a/internal/decide/policy/proof.go
+++ b/internal/decide/policy/proof.go
@@ -35,8 +35,8 @@
 	KeyInvalid
 )
 
-// Of returns what may be said of a key that a configuration of an age has, or has not.
-func (b ConfigAgeLimits) Of(known bool, age time.Duration) KeyStatus {
+// KeyStatus returns what may be said of a key that a configuration of an age has, or has not.
+func (b ConfigAgeLimits) KeyStatus(known bool, age time.Duration) KeyStatus {
 	switch {
 	case b.Accept > 0 && age > b.Accept:
 		return KeyUnknown
--- a/internal/decide/policy/proof_test.go
+++ b/internal/decide/policy/proof_test.go
@@ -26,9 +26,9 @@
 		{false, 3100 * time.Millisecond, policy.KeyUnknown}, // it may have been added 3 s ago
 		{false, math.MaxInt64, policy.KeyUnknown},
 	} {
-		assert.Equal(t, bounds.Of(c.known, c.age), c.want, "known %t, %v old", c.known, c.age)
+		assert.Equal(t, bounds.KeyStatus(c.known, c.age), c.want, "known %t, %v old", c.known, c.age)
 	}
 	unbounded := policy.NewConfigAgeLimits(0, 0)
-	assert.Equal(t, unbounded.Of(true, math.MaxInt64), policy.KeyValid, "where withdrawals need not be in force at once")
-	assert.Equal(t, unbounded.Of(false, math.MaxInt64), policy.KeyInvalid)
+	assert.Equal(t, unbounded.KeyStatus(true, math.MaxInt64), policy.KeyValid, "where withdrawals need not be in force at once")
+	assert.Equal(t, unbounded.KeyStatus(false, math.MaxInt64), policy.KeyInvalid)
 }
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -33,7 +33,7 @@
 	if x.info.HasKey {
 		x.organisation = x.table.Owner(x.info.Key)
 	}
-	return refusalOfProof(x.g.proofs.Of(x.organisation != nil, x.tableAge))
+	return refusalOfProof(x.g.proofs.KeyStatus(x.organisation != nil, x.tableAge))
 }
 
 // stillProved looks at the caller's key once more: the request may have waited since it came.
@@ -43,7 +43,7 @@
 	}
 	table, age := x.g.catalog.Confirmed()
 	// A key that was passed on meanwhile proves the organisation that had it when the request came.
-	return refusalOfProof(x.g.proofs.Of(table.Owner(x.info.Key) != nil, age))
+	return refusalOfProof(x.g.proofs.KeyStatus(table.Owner(x.info.Key) != nil, age))
 }
 
 // refusalOfProof returns what a caller is told whose key is not proved.
