--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -56,7 +56,7 @@
 	lines map[string]*line
 	// others are the calls that other daemons have under way or waiting, by service.
 	others map[string]int
-	shares map[string]*policy.AimShare
+	shares map[string]*policy.TimeBudgetShare
 }
 
 // line is one service's. It is guarded by Gate.mu.
@@ -79,7 +79,7 @@
 
 // New returns a gate that knows of no other daemon.
 func New() *Gate {
-	return &Gate{lines: map[string]*line{}, others: map[string]int{}, shares: map[string]*policy.AimShare{}}
+	return &Gate{lines: map[string]*line{}, others: map[string]int{}, shares: map[string]*policy.TimeBudgetShare{}}
 }
 
 // Demand returns the calls under way and waiting, by service.
@@ -305,10 +305,10 @@
 	return l
 }
 
-func (g *Gate) share(route string) *policy.AimShare {
+func (g *Gate) share(route string) *policy.TimeBudgetShare {
 	s := g.shares[route]
 	if s == nil {
-		s = &policy.AimShare{}
+		s = &policy.TimeBudgetShare{}
 		g.shares[route] = s
 	}
 	return s
--- a/internal/decide/policy/share.go
+++ b/internal/decide/policy/share.go
@@ -31,9 +31,9 @@
 	return min(longest, time.Duration(float64(calls)/rate*float64(time.Second)))
 }
 
-// AimShare learns which share of the time that programs of one kind are given they need when nothing holds them up:
+// TimeBudgetShare learns which share of the time that programs of one kind are given they need when nothing holds them up:
 // a high quantile over their calls of the time used by the end of the call. The zero value is ready for use.
-type AimShare struct {
+type TimeBudgetShare struct {
 	learnt float64
 }
 
@@ -50,7 +50,7 @@
 
 // Observe takes a call into account that ended when its program had used so much of its time. Calls that had to
 // wait must not be told.
-func (s *AimShare) Observe(used float64) {
+func (s *TimeBudgetShare) Observe(used float64) {
 	if s.learnt == 0 {
 		s.learnt = firstAimShare
 	}
@@ -62,7 +62,7 @@
 }
 
 // Need returns the time that a program needs of what it was given.
-func (s *AimShare) Need(aim time.Duration) time.Duration {
+func (s *TimeBudgetShare) Need(aim time.Duration) time.Duration {
 	share := s.learnt
 	if share == 0 {
 		share = firstAimShare
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -56,7 +56,7 @@
 }
 
 func TestAimShareIsLearnt(t *testing.T) {
-	var s policy.AimShare
+	var s policy.TimeBudgetShare
 	assert.Equal(t, s.Need(time.Second), 600*time.Millisecond)
 	for i := range 5000 {
 		s.Observe(0.4 * float64(i%100) / 100)
