--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -220,7 +220,7 @@
 
 // grant lets as many calls go as this daemon's share of the slots allows.
 func (g *Gate) grant(service string, l *line) {
-	for l.queue.Len() > 0 && l.running < policy.Share(l.slots, l.demand(), g.others[service]) {
+	for l.queue.Len() > 0 && l.running < policy.SlotShare(l.slots, l.demand(), g.others[service]) {
 		next := l.queue.Pop()
 		now := time.Now()
 		l.running++
--- a/internal/decide/policy/share.go
+++ b/internal/decide/policy/share.go
@@ -6,10 +6,10 @@
 // Daemons know of one another late, and calls fall unevenly on the engines, so slots would stay empty.
 const overcommit = 1.25
 
-// Share returns how many calls a daemon may have under way at engines with so many slots in all, where it wants to
+// SlotShare returns how many calls a daemon may have under way at engines with so many slots in all, where it wants to
 // have own of them and the other daemons others: as many as it wants while the slots suffice, and its part of them
 // when they do not.
-func Share(slots, own, others int) int {
+func SlotShare(slots, own, others int) int {
 	most := overcommit * float64(slots)
 	if float64(own+others) <= most {
 		return own
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -15,7 +15,7 @@
 	for _, c := range []struct{ slots, own, others, want int }{
 		{16, 5, 0, 5}, {16, 10, 10, 10}, {16, 20, 20, 10}, {16, 1, 1000, 1}, {0, 3, 0, 1}, {160, 100, 300, 50},
 	} {
-		assert.Equal(t, policy.Share(c.slots, c.own, c.others), c.want, "%+v", c)
+		assert.Equal(t, policy.SlotShare(c.slots, c.own, c.others), c.want, "%+v", c)
 	}
 }
 
@@ -29,7 +29,7 @@
 			all += w
 		}
 		for _, w := range wants {
-			share := policy.Share(slots, w, all-w)
+			share := policy.SlotShare(slots, w, all-w)
 			if share > w && share > 1 {
 				r.Fatalf("%d of %d wanted", share, w)
 			}
