--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -293,7 +293,7 @@
 	if !c.Begun {
 		r = &l.fresh
 	}
-	return policy.WaitFor(1, r.read(time.Now()), longestReturn)
+	return policy.QueueDelay(1, r.read(time.Now()), longestReturn)
 }
 
 func (g *Gate) line(service string) *line {
--- a/internal/decide/policy/share.go
+++ b/internal/decide/policy/share.go
@@ -23,8 +23,8 @@
 	return ahead == 0 || float64(ahead) <= rate*left.Seconds()
 }
 
-// WaitFor returns how long so many calls take to get their turn, at most longest.
-func WaitFor(calls int, rate float64, longest time.Duration) time.Duration {
+// QueueDelay returns how long so many calls take to get their turn, at most longest.
+func QueueDelay(calls int, rate float64, longest time.Duration) time.Duration {
 	if rate <= 0 {
 		return longest
 	}
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -50,9 +50,9 @@
 }
 
 func TestWaitFor(t *testing.T) {
-	assert.Equal(t, policy.WaitFor(1, 0, time.Second), time.Second)
-	assert.Equal(t, policy.WaitFor(1, 10, time.Second), 100*time.Millisecond)
-	assert.Equal(t, policy.WaitFor(100, 10, time.Second), time.Second)
+	assert.Equal(t, policy.QueueDelay(1, 0, time.Second), time.Second)
+	assert.Equal(t, policy.QueueDelay(1, 10, time.Second), 100*time.Millisecond)
+	assert.Equal(t, policy.QueueDelay(100, 10, time.Second), time.Second)
 }
 
 func TestAimShareIsLearnt(t *testing.T) {
