--- a/internal/decide/policy/place.go
+++ b/internal/decide/policy/place.go
@@ -34,9 +34,9 @@
 	return Costs{PrefillPerToken: 0.0002, SlowdownPerCall: 0.05, CrossDataCentre: 0.003}
 }
 
-// Place returns the index of the engine on which a call of promptTokens is expected to finish first, or -1
+// ChooseEngine returns the index of the engine on which a call of promptTokens is expected to finish first, or -1
 // when none may take it.
-func Place(engines []Engine, promptTokens int64, costs Costs) int {
+func ChooseEngine(engines []Engine, promptTokens int64, costs Costs) int {
 	best, bestCost := -1, 0.0
 	for i, engine := range engines {
 		if engine.Excluded || engine.InFlight >= engine.Capacity {
--- a/internal/decide/policy/policy_test.go
+++ b/internal/decide/policy/policy_test.go
@@ -28,7 +28,7 @@
 		{"the near one of equals", []policy.Engine{{Capacity: 9, Remote: true}, {Capacity: 9}}, 10, 1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			assert.Equal(t, policy.Place(row.engines, row.prompt, policy.DefaultCosts()), row.want)
+			assert.Equal(t, policy.ChooseEngine(row.engines, row.prompt, policy.DefaultCosts()), row.want)
 		})
 	}
 }
@@ -133,7 +133,7 @@
 		}
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			for b.Loop() {
-				policy.Place(engines, 5000, policy.DefaultCosts())
+				policy.ChooseEngine(engines, 5000, policy.DefaultCosts())
 			}
 		})
 	}
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -117,7 +117,7 @@
 			for i := 0; b.Loop(); i++ {
 				q.Ahead(push(i))
 				q.Pop()
-				policy.Place(engines, 1000, policy.DefaultCosts())
+				policy.ChooseEngine(engines, 1000, policy.DefaultCosts())
 			}
 		})
 	}
--- a/internal/rookpassd/backend/pool.go
+++ b/internal/rookpassd/backend/pool.go
@@ -114,7 +114,7 @@
 	now := time.Now()
 	for p.queue.Len() > 0 && (len(p.servers) == 0 || p.free(now)) {
 		a := p.queue.Pop().Value.(*ask)
-		if i := policy.Place(p.engines(a, now), a.promptTokens, p.costs); i >= 0 {
+		if i := policy.ChooseEngine(p.engines(a, now), a.promptTokens, p.costs); i >= 0 {
 			p.servers[i].inFlight++
 			a.granted <- p.servers[i]
 			continue
