--- a/internal/decide/policy/place.go
+++ b/internal/decide/policy/place.go
@@ -42,7 +42,7 @@
 		if engine.Excluded || engine.InFlight >= engine.Capacity {
 			continue
 		}
-		cost := Expected(engine, promptTokens, costs)
+		cost := ExpectedCost(engine, promptTokens, costs)
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -54,10 +54,10 @@
 // call takes, so daemons that trust them whole turn to one engine and leave it together.
 const surplusWeight = 0.3
 
-// Expected returns what a call of promptTokens is expected to cost on an engine: the seconds that reading its
+// ExpectedCost returns what a call of promptTokens is expected to cost on an engine: the seconds that reading its
 // prompt takes, once for the call itself and once for each that is held up beside it, and those that the calls
 // already there add to its own time.
-func Expected(engine Engine, promptTokens int64, costs Costs) float64 {
+func ExpectedCost(engine Engine, promptTokens int64, costs Costs) float64 {
 	uncached := max(0, promptTokens-engine.CachedTokens)
 	cost := float64(uncached+1) * costs.PrefillPerToken * (1 + float64(engine.InFlight) + engine.Others)
 	cost += costs.SlowdownPerCall * (float64(engine.InFlight) + surplusWeight*engine.Surplus)
