--- a/internal/decide/policy/place.go
+++ b/internal/decide/policy/place.go
@@ -8,9 +8,9 @@
 	InFlight, Capacity int
 	// CachedTokens of the call's prompt that the engine is thought to hold.
 	CachedTokens int64
-	// Others are the calls that other daemons are thought to have on it, for want of a report the same on each
+	// PeerCalls are the calls that other daemons are thought to have on it, for want of a report the same on each
 	// engine: it weighs what a prompt that is read holds up, not one engine against another.
-	Others float64
+	PeerCalls float64
 	// Surplus are the calls that others had on it over the last second, above their mean on the service's engines.
 	Surplus float64
 	// Excluded engines are draining, ejected, or broke this call off before.
@@ -59,7 +59,7 @@
 // already there add to its own time.
 func ExpectedCost(engine Engine, promptTokens int64, costs Costs) float64 {
 	uncached := max(0, promptTokens-engine.CachedTokens)
-	cost := float64(uncached+1) * costs.PrefillPerToken * (1 + float64(engine.InFlight) + engine.Others)
+	cost := float64(uncached+1) * costs.PrefillPerToken * (1 + float64(engine.InFlight) + engine.PeerCalls)
 	cost += costs.SlowdownPerCall * (float64(engine.InFlight) + surplusWeight*engine.Surplus)
 	if engine.Remote {
 		cost += costs.CrossDataCentre
--- a/internal/decide/policy/policy_test.go
+++ b/internal/decide/policy/policy_test.go
@@ -23,7 +23,7 @@
 		{"the idle one", []policy.Engine{{InFlight: 3, Capacity: 9}, {Capacity: 9}}, 10, 1},
 		{"the one with the cache, though busier", []policy.Engine{{Capacity: 9}, {InFlight: 2, Capacity: 9, CachedTokens: 10000}}, 10000, 1},
 		{"not the cache at any price", []policy.Engine{{Capacity: 90}, {InFlight: 80, Capacity: 90, CachedTokens: 1000}}, 1000, 0},
-		{"the cache, where reading anew holds up others", []policy.Engine{{Capacity: 9, Others: 20}, {InFlight: 2, Capacity: 9, CachedTokens: 300, Others: 20}}, 300, 1},
+		{"the cache, where reading anew holds up others", []policy.Engine{{Capacity: 9, PeerCalls: 20}, {InFlight: 2, Capacity: 9, CachedTokens: 300, PeerCalls: 20}}, 300, 1},
 		{"not for so few tokens where nobody waits", []policy.Engine{{Capacity: 9}, {InFlight: 2, Capacity: 9, CachedTokens: 300}}, 300, 0},
 		{"the near one of equals", []policy.Engine{{Capacity: 9, Remote: true}, {Capacity: 9}}, 10, 1},
 	} {
