--- a/internal/decide/policy/place.go
+++ b/internal/decide/policy/place.go
@@ -11,8 +11,8 @@
 	// PeerCalls are the calls that other daemons are thought to have on it, for want of a report the same on each
 	// engine: it weighs what a prompt that is read holds up, not one engine against another.
 	PeerCalls float64
-	// Surplus are the calls that others had on it over the last second, above their mean on the service's engines.
-	Surplus float64
+	// PeerCallsAboveMean are the calls that others had on it over the last second, above their mean on the service's engines.
+	PeerCallsAboveMean float64
 	// Excluded engines are draining, ejected, or broke this call off before.
 	Excluded bool
 	// Remote engines stand in another data centre.
@@ -60,7 +60,7 @@
 func ExpectedCost(engine Engine, promptTokens int64, costs Costs) float64 {
 	uncached := max(0, promptTokens-engine.CachedTokens)
 	cost := float64(uncached+1) * costs.PrefillPerToken * (1 + float64(engine.InFlight) + engine.PeerCalls)
-	cost += costs.SlowdownPerCall * (float64(engine.InFlight) + surplusWeight*engine.Surplus)
+	cost += costs.SlowdownPerCall * (float64(engine.InFlight) + surplusWeight*engine.PeerCallsAboveMean)
 	if engine.Remote {
 		cost += costs.CrossDataCentre
 	}
--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -292,7 +292,7 @@
 	}
 	cached := s.parts.cached(ask.Parts)
 	engine := policy.Engine{InFlight: s.inFlight, Capacity: 1 << 30, CachedTokens: cached, Remote: remote, PeerCalls: ask.mean * float64(b.peers),
-		Surplus: s.others - b.othersMean}
+		PeerCallsAboveMean: s.others - b.othersMean}
 	cost := policy.ExpectedCost(engine, ask.PromptTokens, b.model(server.Service).Costs())*slowness + 0.05*(slowness-1) + away
 	if connect {
 		cost += connectSeconds
