--- a/internal/decide/quota/asker.go
+++ b/internal/decide/quota/asker.go
@@ -49,8 +49,8 @@
 // Error implements error.
 func (e *OverError) Error() string { return "over the limit for another " + e.Wait.String() }
 
-// Asker asks homes for grants. Use NewAsker.
-type Asker struct {
+// Client asks homes for grants. Use NewAsker.
+type Client struct {
 	links *peerlink.Set
 	// candidates returns the addresses of an organisation's homes and, behind them, of those that may stand in.
 	candidates func(organisation string) []string
@@ -74,8 +74,8 @@
 type refusal struct{ until, room time.Time }
 
 // NewAsker returns an asker over links.
-func NewAsker(links *peerlink.Set, candidates func(organisation string) []string) *Asker {
-	return &Asker{links: links, candidates: candidates, silent: map[string]time.Time{}, denied: map[denial]refusal{}, held: map[string]time.Time{}}
+func NewAsker(links *peerlink.Set, candidates func(organisation string) []string) *Client {
+	return &Client{links: links, candidates: candidates, silent: map[string]time.Time{}, denied: map[denial]refusal{}, held: map[string]time.Time{}}
 }
 
 // Grant is the right to run one request.
@@ -83,13 +83,13 @@
 	// Wait is how long the request must wait before it may go to a server.
 	Wait time.Duration
 
-	asker        *Asker
+	asker        *Client
 	organisation string
 	homes        []string
 }
 
 // Take returns a grant, an *OverError, or ErrUnsure.
-func (a *Asker) Take(ctx context.Context, r Request) (*Grant, error) {
+func (a *Client) Take(ctx context.Context, r Request) (*Grant, error) {
 	if wait := a.deniedFor(r); wait > 0 {
 		return nil, &OverError{Wait: wait}
 	}
@@ -103,7 +103,7 @@
 }
 
 // heldFor returns for how long from now requests of an organisation have been granted for later.
-func (a *Asker) heldFor(organisation string) time.Duration {
+func (a *Client) heldFor(organisation string) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	until, held := a.held[organisation]
@@ -117,7 +117,7 @@
 	return max(0, left)
 }
 
-func (a *Asker) noteHeld(organisation string, wait time.Duration) {
+func (a *Client) noteHeld(organisation string, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if until := time.Now().Add(wait); until.After(a.held[organisation]) {
@@ -126,7 +126,7 @@
 }
 
 // deniedFor returns when there will be room for a request that is refused without asking; 0 where homes must be asked.
-func (a *Asker) deniedFor(r Request) time.Duration {
+func (a *Client) deniedFor(r Request) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	key := denial{r.Organisation, r.First}
@@ -141,7 +141,7 @@
 	return time.Until(last.room)
 }
 
-func (a *Asker) deny(r Request, wait time.Duration) {
+func (a *Client) deny(r Request, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
@@ -155,7 +155,7 @@
 }
 
 // homes returns whom to ask, those last that were silent just now.
-func (a *Asker) homes(organisation string) []home {
+func (a *Client) homes(organisation string) []home {
 	var answering, silent []home
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -172,7 +172,7 @@
 	return slices.Concat(answering, silent)
 }
 
-func (a *Asker) noteSilent(address string) {
+func (a *Client) noteSilent(address string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.silent[address] = time.Now().Add(silentTime)
@@ -180,7 +180,7 @@
 
 // poll is one asking of homes.
 type poll struct {
-	asker   *Asker
+	asker   *Client
 	request Request
 	held    time.Duration
 	homes   []home
@@ -200,7 +200,7 @@
 	err     error
 }
 
-func (a *Asker) newPoll(r Request) *poll {
+func (a *Client) newPoll(r Request) *poll {
 	homes := a.homes(r.Organisation)
 	return &poll{asker: a, request: r, held: a.heldFor(r.Organisation), homes: homes, need: min(homeCount, len(homes))/2 + 1, answers: make(chan vote, len(homes))}
 }
--- a/internal/decide/quota/asker_test.go
+++ b/internal/decide/quota/asker_test.go
@@ -20,7 +20,7 @@
 type fleet struct {
 	t      *testing.T
 	fabric *memnet.Fabric
-	asker  *quota.Asker
+	asker  *quota.Client
 	limit  quota.Limit
 }
 
@@ -45,7 +45,7 @@
 	return f
 }
 
-func (f *fleet) front(name string, homes []string) *quota.Asker {
+func (f *fleet) front(name string, homes []string) *quota.Client {
 	dial := func(ctx context.Context, _, address string) (net.Conn, error) {
 		return f.fabric.Dial(ctx, name, address)
 	}
@@ -59,7 +59,7 @@
 	go func() { _ = peerlink.Serve(l, map[string]any{quota.ServiceName: service}) }()
 }
 
-func (f *fleet) take(a *quota.Asker, first bool) (*quota.Grant, error) {
+func (f *fleet) take(a *quota.Client, first bool) (*quota.Grant, error) {
 	return a.Take(f.t.Context(), quota.Request{Organisation: "o", Limit: f.limit, Version: 1, First: first})
 }
 
