--- a/internal/decide/quota/asker.go
+++ b/internal/decide/quota/asker.go
@@ -73,8 +73,8 @@
 // refusal stands until a time; room is when there will be room.
 type refusal struct{ until, room time.Time }
 
-// NewAsker returns an asker over links.
-func NewAsker(links *peerlink.Set, candidates func(organisation string) []string) *Client {
+// NewClient returns an asker over links.
+func NewClient(links *peerlink.Set, candidates func(organisation string) []string) *Client {
 	return &Client{links: links, candidates: candidates, silent: map[string]time.Time{}, denied: map[denial]refusal{}, held: map[string]time.Time{}}
 }
 
