--- a/internal/decide/quota/asker.go
+++ b/internal/decide/quota/asker.go
@@ -196,7 +196,7 @@
 // vote is a home's answer.
 type vote struct {
 	address string
-	answer  *Answer
+	answer  *TakeReply
 	err     error
 }
 
@@ -247,7 +247,7 @@
 	go func() {
 		defer cancel()
 		v := vote{address: h.address}
-		v.answer, v.err = peerlink.Call[Answer](ctx, p.asker.links.To(h.address), ServiceName+".Take", args)
+		v.answer, v.err = peerlink.Call[TakeReply](ctx, p.asker.links.To(h.address), ServiceName+".Take", args)
 		if v.err != nil {
 			p.asker.noteSilent(h.address)
 		}
--- a/internal/decide/quota/asker_test.go
+++ b/internal/decide/quota/asker_test.go
@@ -176,7 +176,7 @@
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		var answer quota.Answer
+		var answer quota.TakeReply
 		if err := s.Take(&args[i%len(args)], &answer); err != nil {
 			b.Fatal(err)
 		}
--- a/internal/decide/quota/bucket.go
+++ b/internal/decide/quota/bucket.go
@@ -53,8 +53,8 @@
 	level float64
 }
 
-// Answer tells whether a request may run, and after how long: where it is not granted, when there will be room.
-type Answer struct {
+// TakeReply tells whether a request may run, and after how long: where it is not granted, when there will be room.
+type TakeReply struct {
 	Granted bool
 	Wait    time.Duration
 }
@@ -96,17 +96,17 @@
 
 // Take grants a request, now or for soon, or tells when there is room for it. first is set for a request with which a
 // program begins: it is granted only for now, so that programs under way have all that comes in before others begin.
-func (b *Bucket) Take(first bool, now time.Time) Answer {
+func (b *Bucket) Take(first bool, now time.Time) TakeReply {
 	b.advance(now)
 	wait, longest := b.until(1-b.level), longestDelay
 	if first {
 		longest = 0
 	}
 	if wait > longest {
-		return Answer{Wait: wait - longest}
+		return TakeReply{Wait: wait - longest}
 	}
 	b.level--
-	return Answer{Granted: true, Wait: wait}
+	return TakeReply{Granted: true, Wait: wait}
 }
 
 // Return takes a granted request back that has not run.
--- a/internal/decide/quota/service.go
+++ b/internal/decide/quota/service.go
@@ -50,7 +50,7 @@
 }
 
 // Take answers whether a request may run.
-func (s *Service) Take(args *TakeArgs, reply *Answer) error {
+func (s *Service) Take(args *TakeArgs, reply *TakeReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
