--- a/internal/decide/quota/asker.go
+++ b/internal/decide/quota/asker.go
@@ -40,14 +40,14 @@
 	First bool
 }
 
-// OverError means that an organisation is at its limit.
-type OverError struct {
+// OverLimitError means that an organisation is at its limit.
+type OverLimitError struct {
 	// Wait is when there will be room.
 	Wait time.Duration
 }
 
 // Error implements error.
-func (e *OverError) Error() string { return "over the limit for another " + e.Wait.String() }
+func (e *OverLimitError) Error() string { return "over the limit for another " + e.Wait.String() }
 
 // Client asks homes for grants. Use NewAsker.
 type Client struct {
@@ -91,7 +91,7 @@
 // Take returns a grant, an *OverError, or ErrUnsure.
 func (a *Client) Take(ctx context.Context, r Request) (*Grant, error) {
 	if wait := a.deniedFor(r); wait > 0 {
-		return nil, &OverError{Wait: wait}
+		return nil, &OverLimitError{Wait: wait}
 	}
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
@@ -228,7 +228,7 @@
 		case p.refused >= p.need:
 			p.giveBack()
 			p.asker.deny(p.request, p.wait)
-			return nil, &OverError{Wait: p.wait}
+			return nil, &OverLimitError{Wait: p.wait}
 		}
 	}
 	return nil, p.giveUp()
--- a/internal/decide/quota/asker_test.go
+++ b/internal/decide/quota/asker_test.go
@@ -67,7 +67,7 @@
 func (f *fleet) takeAll() (granted int) {
 	for range 10_000 {
 		if _, err := f.take(f.asker, true); err != nil {
-			var over *quota.OverError
+			var over *quota.OverLimitError
 			assert.Assert(f.t, errors.As(err, &over), "%v", err)
 			assert.Assert(f.t, over.Wait > 0)
 			return granted
@@ -86,7 +86,7 @@
 		other := f.front("other", []string{"store-0:1", "store-1:1", "store-2:1", "store-3:1", "store-4:1"})
 		assert.Assert(t, f.takeAll() > 0)
 		_, err := f.take(other, true)
-		var over *quota.OverError
+		var over *quota.OverLimitError
 		assert.Assert(t, errors.As(err, &over), "another front asks for the same organisation: %v", err)
 		time.Sleep(over.Wait)
 		_, err = f.take(other, true)
@@ -151,7 +151,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, small)
 		f.takeAll()
-		var first, over *quota.OverError
+		var first, over *quota.OverLimitError
 		_, err := f.take(f.asker, true)
 		assert.Assert(t, errors.As(err, &first), "%v", err)
 		for i := range 3 {
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -68,7 +68,7 @@
 		Version: x.table.Config.Version, First: x.beginsProgram()})
 	x.g.stats.quota(time.Since(began))
 	x.logLimit(grant, err)
-	var over *quota.OverError
+	var over *quota.OverLimitError
 	switch {
 	case err == nil:
 		x.grant = grant
--- a/internal/front/gateway/organisation_test.go
+++ b/internal/front/gateway/organisation_test.go
@@ -180,7 +180,7 @@
 	assert.Equal(t, len(r.quotas.asked), 0, "nobody counts what has no limit")
 	assert.Equal(t, r.send("/twice/", "x", "Api-Key", "key-of-north").status, http.StatusOK)
 	assert.DeepEqual(t, r.quotas.asked, []quota.Request{{Organisation: "north", Limit: bounded.Limit, Version: r.config.Version}})
-	r.quotas.err = &quota.OverError{Wait: 700 * time.Millisecond}
+	r.quotas.err = &quota.OverLimitError{Wait: 700 * time.Millisecond}
 	got := r.send("/twice/", "x", "Api-Key", "key-of-north")
 	assert.Equal(t, got.status, http.StatusTooManyRequests)
 	assert.Assert(t, got.header.Get("Retry-After") > "0.4", got.header.Get("Retry-After"))
