--- a/internal/decide/quota/asker.go
+++ b/internal/decide/quota/asker.go
@@ -10,8 +10,8 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// ErrUnsure means that too few homes answered to know whether there is room.
-var ErrUnsure = errors.New("too few daemons answered that count requests")
+// ErrUnavailable means that too few homes answered to know whether there is room.
+var ErrUnavailable = errors.New("too few daemons answered that count requests")
 
 const (
 	// homeCount is how many daemons count an organisation's requests. Three bear the loss of one without a stand-in, and
@@ -273,7 +273,7 @@
 
 func (p *poll) giveUp() error {
 	p.giveBack()
-	return ErrUnsure
+	return ErrUnavailable
 }
 
 func (p *poll) giveBack() {
--- a/internal/decide/quota/asker_test.go
+++ b/internal/decide/quota/asker_test.go
@@ -126,10 +126,10 @@
 			f.fabric.Cut("front", storeName(i))
 		}
 		_, err := f.take(f.asker, true)
-		assert.ErrorIs(t, err, quota.ErrUnsure)
+		assert.ErrorIs(t, err, quota.ErrUnavailable)
 		nowhere := f.front("front", nil)
 		_, err = f.take(nowhere, true)
-		assert.ErrorIs(t, err, quota.ErrUnsure)
+		assert.ErrorIs(t, err, quota.ErrUnavailable)
 	})
 }
 
@@ -163,7 +163,7 @@
 		assert.Assert(t, first.Wait > 150*time.Millisecond && over.Wait > 150*time.Millisecond, "it tells when there is room all the same: %v, %v", first.Wait, over.Wait)
 		time.Sleep(200 * time.Millisecond)
 		_, err = f.take(f.asker, true)
-		assert.ErrorIs(t, err, quota.ErrUnsure)
+		assert.ErrorIs(t, err, quota.ErrUnavailable)
 	})
 }
 
--- a/internal/front/gateway/organisation_test.go
+++ b/internal/front/gateway/organisation_test.go
@@ -184,7 +184,7 @@
 	got := r.send("/twice/", "x", "Api-Key", "key-of-north")
 	assert.Equal(t, got.status, http.StatusTooManyRequests)
 	assert.Assert(t, got.header.Get("Retry-After") > "0.4", got.header.Get("Retry-After"))
-	r.quotas.err = quota.ErrUnsure
+	r.quotas.err = quota.ErrUnavailable
 	assert.Equal(t, r.send("/twice/", "x", "Api-Key", "key-of-north").status, http.StatusServiceUnavailable)
 	r.quotas.err = nil
 	r.send("/turn/", "first", "Api-Key", "key-of-north", "Program", "p")
