--- a/internal/decide/quota/bucket.go
+++ b/internal/decide/quota/bucket.go
@@ -87,9 +87,9 @@
 	b.level = min(b.level, b.capacity())
 }
 
-// Held tells that grants for later were given for up to a time from now: a bucket that has not given them itself gives none
+// NoteReserved tells that grants for later were given for up to a time from now: a bucket that has not given them itself gives none
 // for before.
-func (b *Bucket) Held(d time.Duration, now time.Time) {
+func (b *Bucket) NoteReserved(d time.Duration, now time.Time) {
 	b.advance(now)
 	b.level = min(b.level, 1-min(d, longestDelay).Seconds()*b.rate())
 }
--- a/internal/decide/quota/service.go
+++ b/internal/decide/quota/service.go
@@ -69,7 +69,7 @@
 	}
 	b.SetLimit(args.Limit, args.Version, now)
 	if args.Held > 0 {
-		b.Held(args.Held, now)
+		b.NoteReserved(args.Held, now)
 	}
 	*reply = b.Take(args.First, now)
 	return nil
--- a/internal/decide/quota/window_test.go
+++ b/internal/decide/quota/window_test.go
@@ -71,7 +71,7 @@
 		}
 		h.buckets[i].SetLimit(h.limit, h.version, now)
 		if h.held.After(now) {
-			h.buckets[i].Held(h.held.Sub(now), now)
+			h.buckets[i].NoteReserved(h.held.Sub(now), now)
 		}
 		if answer := h.buckets[i].Take(first, now); answer.Granted {
 			granted++
