--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -50,8 +50,8 @@
 	Until time.Time
 }
 
-// Gate lets calls go. Use New.
-type Gate struct {
+// Scheduler lets calls go. Use New.
+type Scheduler struct {
 	mu    sync.Mutex
 	lines map[string]*line
 	// others are the calls that other daemons have under way or waiting, by service.
@@ -78,12 +78,12 @@
 }
 
 // New returns a gate that knows of no other daemon.
-func New() *Gate {
-	return &Gate{lines: map[string]*line{}, others: map[string]int{}, shares: map[string]*policy.TimeBudgetShare{}}
+func New() *Scheduler {
+	return &Scheduler{lines: map[string]*line{}, others: map[string]int{}, shares: map[string]*policy.TimeBudgetShare{}}
 }
 
 // Demand returns the calls under way and waiting, by service.
-func (g *Gate) Demand() map[string]int {
+func (g *Scheduler) Demand() map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	demand := map[string]int{}
@@ -96,7 +96,7 @@
 }
 
 // SetOthers tells what other daemons have under way and waiting, by service; nil where that is not known.
-func (g *Gate) SetOthers(demand map[string]int) {
+func (g *Scheduler) SetOthers(demand map[string]int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.others = demand
@@ -106,12 +106,12 @@
 }
 
 // Waiting returns how many calls wait, Running how many are under way.
-func (g *Gate) Waiting() int { return g.count(func(l *line) int { return l.queue.Len() }) }
+func (g *Scheduler) Waiting() int { return g.count(func(l *line) int { return l.queue.Len() }) }
 
 // Running returns how many calls are under way.
-func (g *Gate) Running() int { return g.count(func(l *line) int { return l.running }) }
+func (g *Scheduler) Running() int { return g.count(func(l *line) int { return l.running }) }
 
-func (g *Gate) count(of func(*line) int) int {
+func (g *Scheduler) count(of func(*line) int) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
@@ -123,7 +123,7 @@
 
 // Enter returns once the call may go to a server; Leave must be called when it has ended. ErrNoPlace comes at once
 // where the call can't have its turn in time, or when its time has passed.
-func (g *Gate) Enter(ctx context.Context, c *Call) error {
+func (g *Scheduler) Enter(ctx context.Context, c *Call) error {
 	w, err := g.join(c)
 	if err != nil || w.isGranted() {
 		return err
@@ -160,7 +160,7 @@
 }
 
 // join lets a call go, queues it, or refuses it.
-func (g *Gate) join(c *Call) (*waiter, error) {
+func (g *Scheduler) join(c *Call) (*waiter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -181,7 +181,7 @@
 }
 
 // inTime tells whether a waiting call can expect its turn before it is of no use.
-func (g *Gate) inTime(l *line, w *waiter, now time.Time) bool {
+func (g *Scheduler) inTime(l *line, w *waiter, now time.Time) bool {
 	left, rate := w.call.Until.Add(-w.call.Alone).Sub(now), l.all.read(now)
 	if w.queued.Class == policy.NewOnTime {
 		rate = l.fresh.read(now)
@@ -193,13 +193,13 @@
 }
 
 // lateAt returns from when on the call's program can't end in time; zero where that is not known.
-func (g *Gate) lateAt(c *Call) time.Time {
+func (g *Scheduler) lateAt(c *Call) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.lateAtLocked(c)
 }
 
-func (g *Gate) lateAtLocked(c *Call) time.Time {
+func (g *Scheduler) lateAtLocked(c *Call) time.Time {
 	if c.Finish.IsZero() {
 		return time.Time{}
 	}
@@ -211,7 +211,7 @@
 }
 
 // push queues a call by how its program stands.
-func (g *Gate) push(l *line, w *waiter, now time.Time) {
+func (g *Scheduler) push(l *line, w *waiter, now time.Time) {
 	late := g.lateAtLocked(w.call)
 	w.queued = &policy.QueuedCall{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, LatestStart: late,
 		Class: policy.ClassOf(w.call.Begun, !late.IsZero() && !now.Before(late))}
@@ -219,7 +219,7 @@
 }
 
 // grant lets as many calls go as this daemon's share of the slots allows.
-func (g *Gate) grant(service string, l *line) {
+func (g *Scheduler) grant(service string, l *line) {
 	for l.queue.Len() > 0 && l.running < policy.SlotShare(l.slots, l.demand(), g.others[service]) {
 		next := l.queue.Pop()
 		now := time.Now()
@@ -234,7 +234,7 @@
 
 // fellBehind puts a call whose program can't end in time any more behind those that can. It returns false for a
 // call of a new program, which is given up: it would be late whatever comes.
-func (g *Gate) fellBehind(w *waiter) bool {
+func (g *Scheduler) fellBehind(w *waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if w.isGranted() {
@@ -251,7 +251,7 @@
 }
 
 // withdraw takes a call out of the queue; false where it has been let go meanwhile.
-func (g *Gate) withdraw(w *waiter) bool {
+func (g *Scheduler) withdraw(w *waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if w.isGranted() {
@@ -264,7 +264,7 @@
 }
 
 // Leave tells that a call which was let go has ended.
-func (g *Gate) Leave(c *Call) {
+func (g *Scheduler) Leave(c *Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.line(c.Service)
@@ -274,7 +274,7 @@
 
 // Learn tells that a call was answered whole. While nothing waits, programs show what share of their time they
 // need.
-func (g *Gate) Learn(c *Call) {
+func (g *Scheduler) Learn(c *Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -285,7 +285,7 @@
 }
 
 // ComeBack returns after how long a refused call may find a place: when the next of its kind should be let go.
-func (g *Gate) ComeBack(c *Call) time.Duration {
+func (g *Scheduler) ComeBack(c *Call) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.line(c.Service)
@@ -296,7 +296,7 @@
 	return policy.QueueDelay(1, r.read(time.Now()), longestReturn)
 }
 
-func (g *Gate) line(service string) *line {
+func (g *Scheduler) line(service string) *line {
 	l := g.lines[service]
 	if l == nil {
 		l = &line{}
@@ -305,7 +305,7 @@
 	return l
 }
 
-func (g *Gate) share(route string) *policy.TimeBudgetShare {
+func (g *Scheduler) share(route string) *policy.TimeBudgetShare {
 	s := g.shares[route]
 	if s == nil {
 		s = &policy.TimeBudgetShare{}
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -27,7 +27,7 @@
 }
 
 // fill lets as many calls go as there is room for.
-func fill(t *testing.T, g *dispatch.Gate) []*dispatch.Call {
+func fill(t *testing.T, g *dispatch.Scheduler) []*dispatch.Call {
 	t.Helper()
 	g.SetOthers(map[string]int{"m": 1000})
 	c := turn(time.Minute)
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -62,7 +62,7 @@
 	stats    *Stats
 	// bodies are the bytes that bodies of requests may hold together.
 	bodies   *semaphore.Weighted
-	gate     *dispatch.Gate
+	gate     *dispatch.Scheduler
 	proofs   policy.ConfigAgeLimits
 	quotas   Quotas
 	steps    []step
@@ -80,7 +80,7 @@
 	Log      logrus.FieldLogger
 	Stats    *Stats
 	// Gate decides which turns go to model servers when.
-	Gate *dispatch.Gate
+	Gate *dispatch.Scheduler
 	// BodyBytes bounds what bodies of requests hold together, in bytes.
 	BodyBytes int64
 	// Proofs are how old the configuration may be by which callers' keys are judged.
--- a/internal/front/gateway/rig_test.go
+++ b/internal/front/gateway/rig_test.go
@@ -145,7 +145,7 @@
 	books   *books
 	catalog *catalog.Catalog
 	gateway *gateway.Gateway
-	gate    *dispatch.Gate
+	gate    *dispatch.Scheduler
 	// entries holds the servers, numbered in the order of their handlers.
 	entries *catalog.ServersHandler
 	objects []objectapi.Object
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -78,7 +78,7 @@
 	*base
 	catalog  *catalog.Catalog
 	balancer *balance.Balancer
-	gate     *dispatch.Gate
+	gate     *dispatch.Scheduler
 	pool     *upstream.Pool
 	ledger   *ledger.Ledger
 	gateway  *gateway.Gateway
