--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -121,9 +121,9 @@
 	return n
 }
 
-// Enter returns once the call may go to a server; Leave must be called when it has ended. ErrNoPlace comes at once
+// Acquire returns once the call may go to a server; Leave must be called when it has ended. ErrNoPlace comes at once
 // where the call can't have its turn in time, or when its time has passed.
-func (g *Scheduler) Enter(ctx context.Context, c *Call) error {
+func (g *Scheduler) Acquire(ctx context.Context, c *Call) error {
 	w, err := g.join(c)
 	if err != nil || w.isGranted() {
 		return err
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	g.SetOthers(map[string]int{"m": 1000})
 	c := turn(time.Minute)
-	assert.NilError(t, g.Enter(t.Context(), c))
+	assert.NilError(t, g.Acquire(t.Context(), c))
 	assert.Equal(t, g.Running(), 1, "this daemon's share")
 	return []*dispatch.Call{c}
 }
@@ -41,7 +41,7 @@
 		g := dispatch.New()
 		g.SetOthers(map[string]int{"m": 1})
 		for range 4 {
-			assert.NilError(t, g.Enter(t.Context(), turn(time.Second)))
+			assert.NilError(t, g.Acquire(t.Context(), turn(time.Second)))
 		}
 		assert.Equal(t, g.Running(), 4)
 		assert.DeepEqual(t, g.Demand(), map[string]int{"m": 4})
@@ -58,7 +58,7 @@
 		var wg sync.WaitGroup
 		enter := func(name string, c *dispatch.Call) {
 			wg.Go(func() {
-				if g.Enter(t.Context(), c) != nil {
+				if g.Acquire(t.Context(), c) != nil {
 					name += " refused"
 				}
 				mu.Lock()
@@ -88,7 +88,7 @@
 		var order []string
 		enter := func(name string, c *dispatch.Call) {
 			go func() {
-				assert.Check(t, g.Enter(t.Context(), c) == nil)
+				assert.Check(t, g.Acquire(t.Context(), c) == nil)
 				order = append(order, name)
 			}()
 			synctest.Wait()
@@ -113,12 +113,12 @@
 		began := time.Now()
 		waited := make(chan time.Duration, 1)
 		go func() {
-			assert.Check(t, g.Enter(t.Context(), first(time.Second)) == dispatch.ErrNoPlace)
+			assert.Check(t, g.Acquire(t.Context(), first(time.Second)) == dispatch.ErrNoPlace)
 			waited <- time.Since(began)
 		}()
 		synctest.Wait()
 		late := first(time.Second)
-		assert.ErrorIs(t, g.Enter(t.Context(), late), dispatch.ErrNoPlace)
+		assert.ErrorIs(t, g.Acquire(t.Context(), late), dispatch.ErrNoPlace)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		assert.Equal(t, g.ComeBack(late), 400*time.Millisecond)
 		assert.Equal(t, <-waited, 400*time.Millisecond, "60% of its second are needed, as long as nothing else was seen")
@@ -133,7 +133,7 @@
 		running := fill(t, g)
 		ctx, cancel := context.WithCancel(t.Context())
 		gone := make(chan error, 1)
-		go func() { gone <- g.Enter(ctx, turn(time.Second)) }()
+		go func() { gone <- g.Acquire(ctx, turn(time.Second)) }()
 		synctest.Wait()
 		assert.Equal(t, g.Waiting(), 1)
 		cancel()
@@ -150,7 +150,7 @@
 		g := dispatch.New()
 		fill(t, g)
 		began := time.Now()
-		assert.ErrorIs(t, g.Enter(t.Context(), turn(time.Minute)), dispatch.ErrNoPlace)
+		assert.ErrorIs(t, g.Acquire(t.Context(), turn(time.Minute)), dispatch.ErrNoPlace)
 		assert.Equal(t, time.Since(began), 1900*time.Millisecond)
 	})
 }
@@ -161,7 +161,7 @@
 		g := dispatch.New()
 		fill(t, g)
 		done := make(chan error, 1)
-		go func() { done <- g.Enter(t.Context(), turn(time.Second)) }()
+		go func() { done <- g.Acquire(t.Context(), turn(time.Second)) }()
 		synctest.Wait()
 		g.SetOthers(nil)
 		assert.NilError(t, <-done)
@@ -176,14 +176,14 @@
 		time.Sleep(3 * time.Second)
 		for i := range 2000 {
 			c := turn(2 * time.Second)
-			assert.NilError(t, g.Enter(t.Context(), c))
+			assert.NilError(t, g.Acquire(t.Context(), c))
 			time.Sleep(time.Duration(i%10) * 60 * time.Millisecond) // ends after up to 27% of the program's time
 			g.Learn(c)
 			g.Leave(c)
 		}
 		fill(t, g)
 		began := time.Now()
-		assert.ErrorIs(t, g.Enter(t.Context(), first(2*time.Second)), dispatch.ErrNoPlace)
+		assert.ErrorIs(t, g.Acquire(t.Context(), first(2*time.Second)), dispatch.ErrNoPlace)
 		waited := time.Since(began)
 		assert.Assert(t, waited > 1300*time.Millisecond && waited < 1600*time.Millisecond, "waited %v", waited)
 	})
@@ -202,7 +202,7 @@
 				time.Sleep(time.Duration(i%20) * 10 * time.Millisecond)
 				c := turn(time.Duration(100+10*(i%50)) * time.Millisecond)
 				c.Begun = i%3 > 0
-				err := g.Enter(t.Context(), c)
+				err := g.Acquire(t.Context(), c)
 				if err == nil {
 					time.Sleep(90 * time.Millisecond)
 					g.Leave(c)
--- a/internal/front/gateway/enter.go
+++ b/internal/front/gateway/enter.go
@@ -43,7 +43,7 @@
 // enter waits until the request may go to a server, or refuses it.
 func (x *exchange) enter(c *dispatch.Call) *refusal {
 	began := time.Now()
-	err := x.g.gate.Enter(x.ctx, c)
+	err := x.g.gate.Acquire(x.ctx, c)
 	waited := time.Since(began)
 	if waited < waitWorthALine && err == nil {
 		return nil
