--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -263,8 +263,8 @@
 	return true
 }
 
-// Leave tells that a call which was let go has ended.
-func (g *Scheduler) Leave(c *Call) {
+// Release tells that a call which was let go has ended.
+func (g *Scheduler) Release(c *Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.line(c.Service)
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -72,7 +72,7 @@
 		enter("at ease", turn(1500*time.Millisecond))
 		enter("pressed", turn(400*time.Millisecond))
 		for range 4 {
-			g.Leave(running[0])
+			g.Release(running[0])
 			synctest.Wait()
 		}
 		wg.Wait()
@@ -97,7 +97,7 @@
 		enter("in time", turn(1500*time.Millisecond))
 		time.Sleep(250 * time.Millisecond)
 		for range 2 {
-			g.Leave(running[0])
+			g.Release(running[0])
 			synctest.Wait()
 		}
 		assert.DeepEqual(t, order, []string{"in time", "falls behind"})
@@ -139,7 +139,7 @@
 		cancel()
 		assert.ErrorIs(t, <-gone, dispatch.ErrNoPlace)
 		assert.Equal(t, g.Waiting(), 0)
-		g.Leave(running[0])
+		g.Release(running[0])
 		assert.Equal(t, g.Running(), 0)
 	})
 }
@@ -179,7 +179,7 @@
 			assert.NilError(t, g.Acquire(t.Context(), c))
 			time.Sleep(time.Duration(i%10) * 60 * time.Millisecond) // ends after up to 27% of the program's time
 			g.Learn(c)
-			g.Leave(c)
+			g.Release(c)
 		}
 		fill(t, g)
 		began := time.Now()
@@ -205,7 +205,7 @@
 				err := g.Acquire(t.Context(), c)
 				if err == nil {
 					time.Sleep(90 * time.Millisecond)
-					g.Leave(c)
+					g.Release(c)
 				}
 				mu.Lock()
 				outcomes = append(outcomes, err == nil)
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -34,7 +34,7 @@
 		x.void(p.reservation)
 		return refused
 	}
-	defer x.g.gate.Leave(c)
+	defer x.g.gate.Release(c)
 	if refused := x.stillProved(); refused != nil {
 		x.void(p.reservation)
 		return refused
