--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -16,8 +16,8 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// ErrNoPlace means that a call would not have had its turn in time.
-var ErrNoPlace = errs.New("no place at a server in time")
+// ErrNoSlot means that a call would not have had its turn in time.
+var ErrNoSlot = errs.New("no place at a server in time")
 
 const (
 	// rateMemory is the time over which rates of calls are taken.
@@ -144,7 +144,7 @@
 		case <-ctx.Done():
 		}
 		if g.withdraw(w) {
-			return ErrNoPlace
+			return ErrNoSlot
 		}
 		return nil
 	}
@@ -175,7 +175,7 @@
 	l.waited = now
 	if !g.inTime(l, w, now) {
 		l.queue.Remove(w.queued)
-		return nil, ErrNoPlace
+		return nil, ErrNoSlot
 	}
 	return w, nil
 }
