--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -284,8 +284,8 @@
 	g.share(c.Route).Observe(1 - c.Finish.Sub(now).Seconds()/c.Aim.Seconds())
 }
 
-// ComeBack returns after how long a refused call may find a place: when the next of its kind should be let go.
-func (g *Scheduler) ComeBack(c *Call) time.Duration {
+// RetryAfter returns after how long a refused call may find a place: when the next of its kind should be let go.
+func (g *Scheduler) RetryAfter(c *Call) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.line(c.Service)
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -120,7 +120,7 @@
 		late := first(time.Second)
 		assert.ErrorIs(t, g.Acquire(t.Context(), late), dispatch.ErrNoSlot)
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		assert.Equal(t, g.ComeBack(late), 400*time.Millisecond)
+		assert.Equal(t, g.RetryAfter(late), 400*time.Millisecond)
 		assert.Equal(t, <-waited, 400*time.Millisecond, "60% of its second are needed, as long as nothing else was seen")
 		assert.Equal(t, g.Waiting(), 0)
 	})
--- a/internal/front/gateway/enter.go
+++ b/internal/front/gateway/enter.go
@@ -59,7 +59,7 @@
 	}
 	x.g.log.WithFields(fields).Info("turn waited for a place")
 	if err != nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "no-place-in-time", retryAfter: jitter(x.g.gate.ComeBack(c)), err: err}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no-place-in-time", retryAfter: jitter(x.g.gate.RetryAfter(c)), err: err}
 	}
 	return nil
 }
