--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -272,9 +272,9 @@
 	g.grant(c.Service, l)
 }
 
-// Learn tells that a call was answered whole. While nothing waits, programs show what share of their time they
+// ObserveCompletion tells that a call was answered whole. While nothing waits, programs show what share of their time they
 // need.
-func (g *Scheduler) Learn(c *Call) {
+func (g *Scheduler) ObserveCompletion(c *Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -178,7 +178,7 @@
 			c := turn(2 * time.Second)
 			assert.NilError(t, g.Acquire(t.Context(), c))
 			time.Sleep(time.Duration(i%10) * 60 * time.Millisecond) // ends after up to 27% of the program's time
-			g.Learn(c)
+			g.ObserveCompletion(c)
 			g.Release(c)
 		}
 		fill(t, g)
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -48,7 +48,7 @@
 	if !s.whole {
 		return nil // a server's own failure was passed on; it may have generated tokens
 	}
-	x.g.gate.Learn(c)
+	x.g.gate.ObserveCompletion(c)
 	return x.end(p, s.try.choice.Server, s.events)
 }
 
