--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -95,8 +95,8 @@
 	return demand
 }
 
-// SetOthers tells what other daemons have under way and waiting, by service; nil where that is not known.
-func (g *Scheduler) SetOthers(demand map[string]int) {
+// SetPeerDemand tells what other daemons have under way and waiting, by service; nil where that is not known.
+func (g *Scheduler) SetPeerDemand(demand map[string]int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.others = demand
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -29,7 +29,7 @@
 // fill lets as many calls go as there is room for.
 func fill(t *testing.T, g *dispatch.Scheduler) []*dispatch.Call {
 	t.Helper()
-	g.SetOthers(map[string]int{"m": 1000})
+	g.SetPeerDemand(map[string]int{"m": 1000})
 	c := turn(time.Minute)
 	assert.NilError(t, g.Acquire(t.Context(), c))
 	assert.Equal(t, g.Running(), 1, "this daemon's share")
@@ -39,7 +39,7 @@
 func TestNothingWaitsWhileThereIsRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := dispatch.New()
-		g.SetOthers(map[string]int{"m": 1})
+		g.SetPeerDemand(map[string]int{"m": 1})
 		for range 4 {
 			assert.NilError(t, g.Acquire(t.Context(), turn(time.Second)))
 		}
@@ -163,7 +163,7 @@
 		done := make(chan error, 1)
 		go func() { done <- g.Acquire(t.Context(), turn(time.Second)) }()
 		synctest.Wait()
-		g.SetOthers(nil)
+		g.SetPeerDemand(nil)
 		assert.NilError(t, <-done)
 	})
 }
@@ -193,7 +193,7 @@
 func TestEveryCallEndsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := dispatch.New()
-		g.SetOthers(map[string]int{"m": 8})
+		g.SetPeerDemand(map[string]int{"m": 8})
 		var mu sync.Mutex
 		var outcomes []bool
 		var wg sync.WaitGroup
--- a/internal/front/gateway/stream_test.go
+++ b/internal/front/gateway/stream_test.go
@@ -183,7 +183,7 @@
 		<-release
 		counting(w, r)
 	})
-	r.gate.SetOthers(map[string]int{"svc": 1000})
+	r.gate.SetPeerDemand(map[string]int{"svc": 1000})
 	running := make(chan reply, 1)
 	go func() {
 		running <- r.send("/stream/x", "one", "Program", "p", "Budget", "1000", "Id", "t1", "Finish", "60s")
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -311,7 +311,7 @@
 			place++
 			moved = time.Now()
 			f.balancer.SetReported(nil, nil)
-			f.gate.SetOthers(nil)
+			f.gate.SetPeerDemand(nil)
 			f.log.WithFields(logrus.Fields{"event": "exchange-failed", "place": place, "error": err}).Info("asking another daemon")
 			continue
 		}
@@ -321,7 +321,7 @@
 		f.balancer.SetPeers(reply.Daemons)
 		f.balancer.SetOthers(reply.Loads)
 		f.balancer.SetDemand(reply.Demand)
-		f.gate.SetOthers(reply.Demand)
+		f.gate.SetPeerDemand(reply.Demand)
 		f.detour.SetHelpers(reply.Peers)
 	}
 	return ctx.Err()
