--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -38,8 +38,8 @@
 	Slots int
 	// Priority is 0 to 9; higher goes first.
 	Priority int32
-	// Begun is set where turns of the same program were served before.
-	Begun bool
+	// ProgramStarted is set where turns of the same program were served before.
+	ProgramStarted bool
 	// Aim is the time that the whole program was given; 0 where that was not said.
 	Aim time.Duration
 	// Finish is when the program should be over; zero where that was not said.
@@ -204,7 +204,7 @@
 		return time.Time{}
 	}
 	need := c.Alone
-	if !c.Begun {
+	if !c.ProgramStarted {
 		need = max(need, g.share(c.Route).Need(c.Aim))
 	}
 	return c.Finish.Add(-need)
@@ -214,7 +214,7 @@
 func (g *Scheduler) push(l *line, w *waiter, now time.Time) {
 	late := g.lateAtLocked(w.call)
 	w.queued = &policy.QueuedCall{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, LatestStart: late,
-		Class: policy.ClassOf(w.call.Begun, !late.IsZero() && !now.Before(late))}
+		Class: policy.ClassOf(w.call.ProgramStarted, !late.IsZero() && !now.Before(late))}
 	l.queue.Push(w.queued)
 }
 
@@ -240,7 +240,7 @@
 	if w.isGranted() {
 		return true
 	}
-	if !w.call.Begun {
+	if !w.call.ProgramStarted {
 		return false
 	}
 	l := g.line(w.call.Service)
@@ -290,7 +290,7 @@
 	defer g.mu.Unlock()
 	l := g.line(c.Service)
 	r := &l.all
-	if !c.Begun {
+	if !c.ProgramStarted {
 		r = &l.fresh
 	}
 	return policy.QueueDelay(1, r.read(time.Now()), longestReturn)
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -15,14 +15,14 @@
 
 // turn returns a call of a program that has begun, with so much time left; each turn takes 100 ms alone.
 func turn(left time.Duration) *dispatch.Call {
-	return &dispatch.Call{Service: "m", Route: "r", Slots: 4, Begun: true, Aim: 2 * time.Second, Finish: time.Now().Add(left),
+	return &dispatch.Call{Service: "m", Route: "r", Slots: 4, ProgramStarted: true, Aim: 2 * time.Second, Finish: time.Now().Add(left),
 		Alone: 100 * time.Millisecond, Until: time.Now().Add(2 * time.Second)}
 }
 
 // first returns the first call of a program.
 func first(left time.Duration) *dispatch.Call {
 	c := turn(left)
-	c.Begun, c.Aim = false, left
+	c.ProgramStarted, c.Aim = false, left
 	return c
 }
 
@@ -201,7 +201,7 @@
 			wg.Go(func() {
 				time.Sleep(time.Duration(i%20) * 10 * time.Millisecond)
 				c := turn(time.Duration(100+10*(i%50)) * time.Millisecond)
-				c.Begun = i%3 > 0
+				c.ProgramStarted = i%3 > 0
 				err := g.Acquire(t.Context(), c)
 				if err == nil {
 					time.Sleep(90 * time.Millisecond)
--- a/internal/front/gateway/enter.go
+++ b/internal/front/gateway/enter.go
@@ -25,7 +25,7 @@
 // call returns what the dispatcher goes by.
 func (s *stream) call(p prepared) *dispatch.Call {
 	x := s.x
-	c := &dispatch.Call{Service: x.service, Route: x.route.Name, Begun: p.begun, Aim: p.aim,
+	c := &dispatch.Call{Service: x.service, Route: x.route.Name, ProgramStarted: p.begun, Aim: p.aim,
 		Priority: int32(max(0, lowestPriority-x.priority()))}
 	x.look(&s.ask)
 	c.Slots = s.ask.Slots
@@ -49,7 +49,7 @@
 		return nil
 	}
 	x.g.stats.wait(x.route.Name, waited)
-	fields := logrus.Fields{"event": "wait", "id": x.info.ID, "route": x.route.Name, "begun": c.Begun, "ms": waited.Milliseconds(),
+	fields := logrus.Fields{"event": "wait", "id": x.info.ID, "route": x.route.Name, "begun": c.ProgramStarted, "ms": waited.Milliseconds(),
 		"alone_ms": c.Alone.Milliseconds(), "waiting": x.g.gate.Waiting(), "running": x.g.gate.Running(), "outcome": "let-go"}
 	if !c.Finish.IsZero() {
 		fields["slack_ms"] = time.Until(c.Finish.Add(-c.Alone)).Milliseconds()
