--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -40,8 +40,8 @@
 	Priority int32
 	// ProgramStarted is set where turns of the same program were served before.
 	ProgramStarted bool
-	// Aim is the time that the whole program was given; 0 where that was not said.
-	Aim time.Duration
+	// TimeBudget is the time that the whole program was given; 0 where that was not said.
+	TimeBudget time.Duration
 	// Finish is when the program should be over; zero where that was not said.
 	Finish time.Time
 	// Alone is how long the turn takes on an idle server.
@@ -205,7 +205,7 @@
 	}
 	need := c.Alone
 	if !c.ProgramStarted {
-		need = max(need, g.share(c.Route).Need(c.Aim))
+		need = max(need, g.share(c.Route).Need(c.TimeBudget))
 	}
 	return c.Finish.Add(-need)
 }
@@ -278,10 +278,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if c.Aim == 0 || c.Finish.IsZero() || now.Sub(g.line(c.Service).waited) < calmTime {
+	if c.TimeBudget == 0 || c.Finish.IsZero() || now.Sub(g.line(c.Service).waited) < calmTime {
 		return
 	}
-	g.share(c.Route).Observe(1 - c.Finish.Sub(now).Seconds()/c.Aim.Seconds())
+	g.share(c.Route).Observe(1 - c.Finish.Sub(now).Seconds()/c.TimeBudget.Seconds())
 }
 
 // RetryAfter returns after how long a refused call may find a place: when the next of its kind should be let go.
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -15,14 +15,14 @@
 
 // turn returns a call of a program that has begun, with so much time left; each turn takes 100 ms alone.
 func turn(left time.Duration) *dispatch.Call {
-	return &dispatch.Call{Service: "m", Route: "r", Slots: 4, ProgramStarted: true, Aim: 2 * time.Second, Finish: time.Now().Add(left),
+	return &dispatch.Call{Service: "m", Route: "r", Slots: 4, ProgramStarted: true, TimeBudget: 2 * time.Second, Finish: time.Now().Add(left),
 		Alone: 100 * time.Millisecond, Until: time.Now().Add(2 * time.Second)}
 }
 
 // first returns the first call of a program.
 func first(left time.Duration) *dispatch.Call {
 	c := turn(left)
-	c.ProgramStarted, c.Aim = false, left
+	c.ProgramStarted, c.TimeBudget = false, left
 	return c
 }
 
--- a/internal/front/gateway/enter.go
+++ b/internal/front/gateway/enter.go
@@ -25,7 +25,7 @@
 // call returns what the dispatcher goes by.
 func (s *stream) call(p prepared) *dispatch.Call {
 	x := s.x
-	c := &dispatch.Call{Service: x.service, Route: x.route.Name, ProgramStarted: p.begun, Aim: p.aim,
+	c := &dispatch.Call{Service: x.service, Route: x.route.Name, ProgramStarted: p.begun, TimeBudget: p.aim,
 		Priority: int32(max(0, lowestPriority-x.priority()))}
 	x.look(&s.ask)
 	c.Slots = s.ask.Slots
