--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -42,8 +42,8 @@
 	ProgramStarted bool
 	// TimeBudget is the time that the whole program was given; 0 where that was not said.
 	TimeBudget time.Duration
-	// Finish is when the program should be over; zero where that was not said.
-	Finish time.Time
+	// Deadline is when the program should be over; zero where that was not said.
+	Deadline time.Time
 	// Alone is how long the turn takes on an idle server.
 	Alone time.Duration
 	// Until is when the caller stops waiting for the first event.
@@ -200,14 +200,14 @@
 }
 
 func (g *Scheduler) lateAtLocked(c *Call) time.Time {
-	if c.Finish.IsZero() {
+	if c.Deadline.IsZero() {
 		return time.Time{}
 	}
 	need := c.Alone
 	if !c.ProgramStarted {
 		need = max(need, g.share(c.Route).Need(c.TimeBudget))
 	}
-	return c.Finish.Add(-need)
+	return c.Deadline.Add(-need)
 }
 
 // push queues a call by how its program stands.
@@ -278,10 +278,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	if c.TimeBudget == 0 || c.Finish.IsZero() || now.Sub(g.line(c.Service).waited) < calmTime {
+	if c.TimeBudget == 0 || c.Deadline.IsZero() || now.Sub(g.line(c.Service).waited) < calmTime {
 		return
 	}
-	g.share(c.Route).Observe(1 - c.Finish.Sub(now).Seconds()/c.TimeBudget.Seconds())
+	g.share(c.Route).Observe(1 - c.Deadline.Sub(now).Seconds()/c.TimeBudget.Seconds())
 }
 
 // RetryAfter returns after how long a refused call may find a place: when the next of its kind should be let go.
--- a/internal/front/gateway/enter.go
+++ b/internal/front/gateway/enter.go
@@ -31,7 +31,7 @@
 	c.Slots = s.ask.Slots
 	c.Alone = x.g.balancer.Alone(&s.ask, x.info.LikelyOutputTokens)
 	if x.info.FinishIn > 0 {
-		c.Finish = x.arrived.Add(x.info.FinishIn)
+		c.Deadline = x.arrived.Add(x.info.FinishIn)
 	}
 	c.Until = x.arrived.Add(max(leastSilence, silentObjectives*x.route.Objective, silentGaps*x.route.MaxGap))
 	if !x.until.IsZero() && x.until.Before(c.Until) {
@@ -51,8 +51,8 @@
 	x.g.stats.wait(x.route.Name, waited)
 	fields := logrus.Fields{"event": "wait", "id": x.info.ID, "route": x.route.Name, "begun": c.ProgramStarted, "ms": waited.Milliseconds(),
 		"alone_ms": c.Alone.Milliseconds(), "waiting": x.g.gate.Waiting(), "running": x.g.gate.Running(), "outcome": "let-go"}
-	if !c.Finish.IsZero() {
-		fields["slack_ms"] = time.Until(c.Finish.Add(-c.Alone)).Milliseconds()
+	if !c.Deadline.IsZero() {
+		fields["slack_ms"] = time.Until(c.Deadline.Add(-c.Alone)).Milliseconds()
 	}
 	if err != nil {
 		fields["outcome"] = "refused"
