--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -44,8 +44,8 @@
 	TimeBudget time.Duration
 	// Deadline is when the program should be over; zero where that was not said.
 	Deadline time.Time
-	// Alone is how long the turn takes on an idle server.
-	Alone time.Duration
+	// UnloadedDuration is how long the turn takes on an idle server.
+	UnloadedDuration time.Duration
 	// Until is when the caller stops waiting for the first event.
 	Until time.Time
 }
@@ -130,7 +130,7 @@
 	}
 	late, stopLate := timerAt(g.lateAt(c))
 	defer stopLate()
-	until, stopUntil := timerAt(c.Until.Add(-c.Alone))
+	until, stopUntil := timerAt(c.Until.Add(-c.UnloadedDuration))
 	defer stopUntil()
 	for {
 		select {
@@ -182,7 +182,7 @@
 
 // inTime tells whether a waiting call can expect its turn before it is of no use.
 func (g *Scheduler) inTime(l *line, w *waiter, now time.Time) bool {
-	left, rate := w.call.Until.Add(-w.call.Alone).Sub(now), l.all.read(now)
+	left, rate := w.call.Until.Add(-w.call.UnloadedDuration).Sub(now), l.all.read(now)
 	if w.queued.Class == policy.NewOnTime {
 		rate = l.fresh.read(now)
 		if late := g.lateAtLocked(w.call); !late.IsZero() {
@@ -203,7 +203,7 @@
 	if c.Deadline.IsZero() {
 		return time.Time{}
 	}
-	need := c.Alone
+	need := c.UnloadedDuration
 	if !c.ProgramStarted {
 		need = max(need, g.share(c.Route).Need(c.TimeBudget))
 	}
--- a/internal/front/gateway/enter.go
+++ b/internal/front/gateway/enter.go
@@ -29,7 +29,7 @@
 		Priority: int32(max(0, lowestPriority-x.priority()))}
 	x.look(&s.ask)
 	c.Slots = s.ask.Slots
-	c.Alone = x.g.balancer.Alone(&s.ask, x.info.LikelyOutputTokens)
+	c.UnloadedDuration = x.g.balancer.Alone(&s.ask, x.info.LikelyOutputTokens)
 	if x.info.FinishIn > 0 {
 		c.Deadline = x.arrived.Add(x.info.FinishIn)
 	}
@@ -50,9 +50,9 @@
 	}
 	x.g.stats.wait(x.route.Name, waited)
 	fields := logrus.Fields{"event": "wait", "id": x.info.ID, "route": x.route.Name, "begun": c.ProgramStarted, "ms": waited.Milliseconds(),
-		"alone_ms": c.Alone.Milliseconds(), "waiting": x.g.gate.Waiting(), "running": x.g.gate.Running(), "outcome": "let-go"}
+		"alone_ms": c.UnloadedDuration.Milliseconds(), "waiting": x.g.gate.Waiting(), "running": x.g.gate.Running(), "outcome": "let-go"}
 	if !c.Deadline.IsZero() {
-		fields["slack_ms"] = time.Until(c.Deadline.Add(-c.Alone)).Milliseconds()
+		fields["slack_ms"] = time.Until(c.Deadline.Add(-c.UnloadedDuration)).Milliseconds()
 	}
 	if err != nil {
 		fields["outcome"] = "refused"
