--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -46,8 +46,8 @@
 	Deadline time.Time
 	// UnloadedDuration is how long the turn takes on an idle server.
 	UnloadedDuration time.Duration
-	// Until is when the caller stops waiting for the first event.
-	Until time.Time
+	// FirstEventBy is when the caller stops waiting for the first event.
+	FirstEventBy time.Time
 }
 
 // Scheduler lets calls go. Use New.
@@ -130,7 +130,7 @@
 	}
 	late, stopLate := timerAt(g.lateAt(c))
 	defer stopLate()
-	until, stopUntil := timerAt(c.Until.Add(-c.UnloadedDuration))
+	until, stopUntil := timerAt(c.FirstEventBy.Add(-c.UnloadedDuration))
 	defer stopUntil()
 	for {
 		select {
@@ -182,7 +182,7 @@
 
 // inTime tells whether a waiting call can expect its turn before it is of no use.
 func (g *Scheduler) inTime(l *line, w *waiter, now time.Time) bool {
-	left, rate := w.call.Until.Add(-w.call.UnloadedDuration).Sub(now), l.all.read(now)
+	left, rate := w.call.FirstEventBy.Add(-w.call.UnloadedDuration).Sub(now), l.all.read(now)
 	if w.queued.Class == policy.NewOnTime {
 		rate = l.fresh.read(now)
 		if late := g.lateAtLocked(w.call); !late.IsZero() {
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -16,7 +16,7 @@
 // turn returns a call of a program that has begun, with so much time left; each turn takes 100 ms alone.
 func turn(left time.Duration) *dispatch.Call {
 	return &dispatch.Call{Service: "m", Route: "r", Slots: 4, ProgramStarted: true, TimeBudget: 2 * time.Second, Deadline: time.Now().Add(left),
-		UnloadedDuration: 100 * time.Millisecond, Until: time.Now().Add(2 * time.Second)}
+		UnloadedDuration: 100 * time.Millisecond, FirstEventBy: time.Now().Add(2 * time.Second)}
 }
 
 // first returns the first call of a program.
--- a/internal/front/gateway/enter.go
+++ b/internal/front/gateway/enter.go
@@ -33,9 +33,9 @@
 	if x.info.FinishIn > 0 {
 		c.Deadline = x.arrived.Add(x.info.FinishIn)
 	}
-	c.Until = x.arrived.Add(max(leastSilence, silentObjectives*x.route.Objective, silentGaps*x.route.MaxGap))
-	if !x.until.IsZero() && x.until.Before(c.Until) {
-		c.Until = x.until
+	c.FirstEventBy = x.arrived.Add(max(leastSilence, silentObjectives*x.route.Objective, silentGaps*x.route.MaxGap))
+	if !x.until.IsZero() && x.until.Before(c.FirstEventBy) {
+		c.FirstEventBy = x.until
 	}
 	return c
 }
