--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -126,8 +126,8 @@
 		ways: map[string]float64{}, models: map[string]*policy.CostModel{}, calls: map[string]int{}, demand: map[string]*policy.DecayingMax{}}
 }
 
-// Ask is what a choice depends on.
-type Ask struct {
+// Request is what a choice depends on.
+type Request struct {
 	// Route names requests of one kind, whose answers take like times.
 	Route string
 	// Servers are those of the service in the order in which a data centre turns to them; DataCentres is in how many they
@@ -179,7 +179,7 @@
 }
 
 // Pick chooses a server, or returns false when none may take the request.
-func (b *Balancer) Pick(ask *Ask) (*Choice, bool) {
+func (b *Balancer) Pick(ask *Request) (*Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -233,7 +233,7 @@
 // choose returns the cheapest server, or nil, and how many there were to choose from. Servers are weighed in their order up
 // to the width, so that those of a data centre's daemons that are up take all, and beside them the one that holds most of
 // the prompt.
-func (b *Balancer) choose(ask *Ask, now time.Time, trust trust) (best *catalog.Server, candidates int) {
+func (b *Balancer) choose(ask *Request, now time.Time, trust trust) (best *catalog.Server, candidates int) {
 	ignoreReports := trust > unsuspected || b.tooManyReported(ask.Servers)
 	var bestCost float64
 	weigh := func(server *catalog.Server) {
@@ -264,7 +264,7 @@
 
 // open tells whether a server may get the request under its terms. A cold one may where no other does, and in this daemon's
 // turn: all of them together must not send it more than it bears.
-func (b *Balancer) open(ask *Ask, server *catalog.Server, now time.Time, trust trust) bool {
+func (b *Balancer) open(ask *Request, server *catalog.Server, now time.Time, trust trust) bool {
 	switch ask.Terms.Bar(server) {
 	case catalog.Free:
 		return true
@@ -276,7 +276,7 @@
 }
 
 // cost is what a request is expected to take: seconds at a model server, a count of requests elsewhere.
-func (b *Balancer) cost(ask *Ask, server *catalog.Server, s *state) float64 {
+func (b *Balancer) cost(ask *Request, server *catalog.Server, s *state) float64 {
 	remote, away := b.place.To(server.DataCentre) != place.Here, b.away(server.DataCentre)
 	connect := ask.Connected != nil && !ask.Connected(server)
 	slowness := s.pace.CostFactor()
@@ -311,7 +311,7 @@
 }
 
 // meanInFlight returns this daemon's calls on one of the servers that are weighed, in the mean.
-func (b *Balancer) meanInFlight(ask *Ask) float64 {
+func (b *Balancer) meanInFlight(ask *Request) float64 {
 	weighed := ask.Servers[:min(ask.width, len(ask.Servers))]
 	sum := 0
 	for _, server := range weighed {
--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -27,7 +27,7 @@
 	return list
 }
 
-func pick(t *testing.T, b *balance.Balancer, ask balance.Ask) *balance.Choice {
+func pick(t *testing.T, b *balance.Balancer, ask balance.Request) *balance.Choice {
 	t.Helper()
 	choice, found := b.Pick(&ask)
 	assert.Assert(t, found)
@@ -38,7 +38,7 @@
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	counts := map[incarnation.ID]int{}
 	for range 40 {
-		counts[pick(t, b, balance.Ask{Servers: servers(4)}).Server.ID]++
+		counts[pick(t, b, balance.Request{Servers: servers(4)}).Server.ID]++
 	}
 	for server, n := range counts {
 		assert.Equal(t, n, 10, "server %s", server)
@@ -50,10 +50,10 @@
 	list := servers(3)
 	list[0].Draining = true
 	for range 20 {
-		choice := pick(t, b, balance.Ask{Servers: list, Tried: map[incarnation.ID]bool{id("1"): true}})
+		choice := pick(t, b, balance.Request{Servers: list, Tried: map[incarnation.ID]bool{id("1"): true}})
 		assert.Equal(t, choice.Server.ID, id("2"))
 	}
-	_, found := b.Pick(&balance.Ask{Servers: list, Tried: map[incarnation.ID]bool{id("1"): true, id("2"): true}})
+	_, found := b.Pick(&balance.Request{Servers: list, Tried: map[incarnation.ID]bool{id("1"): true, id("2"): true}})
 	assert.Assert(t, !found)
 }
 
@@ -61,24 +61,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := balance.New("front", place.Map{DataCentre: "here"})
 		fail := func() {
-			choice := pick(t, b, balance.Ask{Servers: servers(1)})
+			choice := pick(t, b, balance.Request{Servers: servers(1)})
 			choice.Done(balance.Failed)
 		}
 		fail()
 		fail()
 		for range 20 {
-			choice := pick(t, b, balance.Ask{Servers: servers(2)})
+			choice := pick(t, b, balance.Request{Servers: servers(2)})
 			assert.Equal(t, choice.Server.ID, id("1"))
 			choice.Done(balance.Answered)
 		}
 		// Rather a server that seems to fail than none.
-		last := pick(t, b, balance.Ask{Servers: servers(1)})
+		last := pick(t, b, balance.Request{Servers: servers(1)})
 		assert.Equal(t, last.Server.ID, id("0"))
 		last.Done(balance.Abandoned) // a request that is left without an answer would count against it too
 		time.Sleep(time.Second)
 		seen := map[incarnation.ID]bool{}
 		for range 20 {
-			seen[pick(t, b, balance.Ask{Servers: servers(2)}).Server.ID] = true
+			seen[pick(t, b, balance.Request{Servers: servers(2)}).Server.ID] = true
 		}
 		assert.Assert(t, seen[id("0")])
 	})
@@ -87,11 +87,11 @@
 func TestCallersThatLeaveTellNothing(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	for range 10 {
-		pick(t, b, balance.Ask{Servers: servers(1)}).Done(balance.Abandoned)
+		pick(t, b, balance.Request{Servers: servers(1)}).Done(balance.Abandoned)
 	}
 	seen := map[incarnation.ID]bool{}
 	for range 10 {
-		seen[pick(t, b, balance.Ask{Servers: servers(2)}).Server.ID] = true
+		seen[pick(t, b, balance.Request{Servers: servers(2)}).Server.ID] = true
 	}
 	assert.Equal(t, len(seen), 2)
 }
@@ -100,7 +100,7 @@
 func TestTurnsGoWhereTheirPromptIs(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	b.Learn(turn.Place{Server: id("2"), Part: "own", Held: 3800})
-	ask := balance.Ask{Servers: servers(4), PromptTokens: 4000, Parts: []call.Part{{ID: "own", Tokens: 4000}}}
+	ask := balance.Request{Servers: servers(4), PromptTokens: 4000, Parts: []call.Part{{ID: "own", Tokens: 4000}}}
 	for range 4 {
 		assert.Equal(t, pick(t, b, ask).Server.ID, id("2"))
 	}
@@ -116,7 +116,7 @@
 
 func TestSharedPartsAreRemembered(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
-	ask := balance.Ask{Servers: servers(6), PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2500}, {ID: "own", Tokens: 500}}}
+	ask := balance.Request{Servers: servers(6), PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2500}, {ID: "own", Tokens: 500}}}
 	first := pick(t, b, ask)
 	first.Done(balance.Answered)
 	ask.Parts = []call.Part{{ID: "shared", Tokens: 2500}, {ID: "another", Tokens: 500}}
@@ -125,11 +125,11 @@
 
 func TestForgetsServersThatAreGone(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
-	choice := pick(t, b, balance.Ask{Servers: servers(1)})
+	choice := pick(t, b, balance.Request{Servers: servers(1)})
 	b.Forget(func(incarnation.ID) bool { return false })
 	choice.Done(balance.Failed)
 	b.Forget(func(incarnation.ID) bool { return false })
-	assert.Equal(t, pick(t, b, balance.Ask{Servers: servers(1)}).InFlight, 0)
+	assert.Equal(t, pick(t, b, balance.Request{Servers: servers(1)}).InFlight, 0)
 }
 
 // TestSilentServerGetsNoMore: a server that keeps one request waiting for much longer than is usual is passed
@@ -137,7 +137,7 @@
 func TestSilentServerGetsNoMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balance.New("front", place.Map{DataCentre: "here"})
-		ask := balance.Ask{Route: "r", Servers: servers(2)}
+		ask := balance.Request{Route: "r", Servers: servers(2)}
 		for range 20 {
 			choice := pick(t, b, ask)
 			time.Sleep(50 * time.Millisecond)
@@ -159,7 +159,7 @@
 		b := balance.New("front", place.Map{DataCentre: "here"})
 		unknown := b.HedgeAfter("r")
 		for range 200 {
-			choice := pick(t, b, balance.Ask{Route: "r", Servers: servers(2)})
+			choice := pick(t, b, balance.Request{Route: "r", Servers: servers(2)})
 			time.Sleep(40 * time.Millisecond)
 			choice.Responded()
 			choice.Done(balance.Answered)
@@ -176,13 +176,13 @@
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	b.SetReported(map[incarnation.ID]int{id("0"): 1}, nil)
 	for range 20 {
-		assert.Assert(t, pick(t, b, balance.Ask{Servers: servers(4)}).Server.ID != id("0"))
+		assert.Assert(t, pick(t, b, balance.Request{Servers: servers(4)}).Server.ID != id("0"))
 	}
-	assert.Equal(t, pick(t, b, balance.Ask{Servers: servers(1)}).Server.ID, id("0"))
+	assert.Equal(t, pick(t, b, balance.Request{Servers: servers(1)}).Server.ID, id("0"))
 	b.SetReported(map[incarnation.ID]int{id("0"): 1, id("1"): 1, id("2"): 1}, nil)
 	seen := map[incarnation.ID]bool{}
 	for range 40 {
-		seen[pick(t, b, balance.Ask{Servers: servers(4)}).Server.ID] = true
+		seen[pick(t, b, balance.Request{Servers: servers(4)}).Server.ID] = true
 	}
 	assert.Equal(t, len(seen), 4)
 }
@@ -192,11 +192,11 @@
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	fail := func(place int) {
 		for range 2 {
-			pick(t, b, balance.Ask{Servers: servers(5)[place : place+1]}).Done(balance.Failed)
+			pick(t, b, balance.Request{Servers: servers(5)[place : place+1]}).Done(balance.Failed)
 		}
 	}
 	for i := range 5 {
-		pick(t, b, balance.Ask{Servers: servers(5)[i : i+1]}).Done(balance.Answered)
+		pick(t, b, balance.Request{Servers: servers(5)[i : i+1]}).Done(balance.Answered)
 	}
 	fail(3)
 	assert.DeepEqual(t, b.Suspects(), []incarnation.ID{id("3")})
@@ -213,10 +213,10 @@
 		b.SetPeers(peers)
 		list := servers(4)
 		for range 12 { // three calls of this daemon on each server, with other prompts
-			pick(t, b, balance.Ask{Servers: list, PromptTokens: 100})
+			pick(t, b, balance.Request{Servers: list, PromptTokens: 100})
 		}
 		b.Learn(turn.Place{Server: id("1"), Part: "own", Held: 300})
-		ask := balance.Ask{Servers: list[1:2], PromptTokens: 400, Parts: []call.Part{{ID: "own", Tokens: 400}}}
+		ask := balance.Request{Servers: list[1:2], PromptTokens: 400, Parts: []call.Part{{ID: "own", Tokens: 400}}}
 		for range 5 { // and more on the one that holds the prompt
 			pick(t, b, ask)
 		}
@@ -230,7 +230,7 @@
 	for _, tokens := range []int64{0, 100} {
 		b := balance.New("front", place.Map{DataCentre: "here"})
 		connected := func(s *catalog.Server) bool { return s.ID == id("3") }
-		ask := balance.Ask{Servers: servers(20), PromptTokens: tokens, Connected: connected}
+		ask := balance.Request{Servers: servers(20), PromptTokens: tokens, Connected: connected}
 		first := pick(t, b, ask)
 		assert.Equal(t, first.Server.ID, id("3"))
 		assert.Assert(t, pick(t, b, ask).Server.ID != id("3"), "the connected server has a request more than the others")
--- a/internal/front/balance/cold.go
+++ b/internal/front/balance/cold.go
@@ -9,7 +9,7 @@
 
 // coldTurn tells whether it is this daemon's turn to send a request to a cold server. It never is before the daemon knows how
 // many there are.
-func (b *Balancer) coldTurn(ask *Ask, server *catalog.Server, now time.Time) bool {
+func (b *Balancer) coldTurn(ask *Request, server *catalog.Server, now time.Time) bool {
 	if !b.demandKnown {
 		return false
 	}
--- a/internal/front/balance/connections_test.go
+++ b/internal/front/balance/connections_test.go
@@ -85,7 +85,7 @@
 				draw -= k.share
 			}
 			takes := time.Duration(float64(kind.mean) * math.Exp(sigma*random.NormFloat64()-sigma*sigma/2))
-			choice := pick(t, b, balance.Ask{Route: kind.route, Servers: list, Connected: connections.has})
+			choice := pick(t, b, balance.Request{Route: kind.route, Servers: list, Connected: connections.has})
 			connections.take(&choice.Server)
 			calls++
 			go func() {
--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -22,13 +22,15 @@
 		b.SetReported(nil, map[incarnation.ID]int{id("0"): 3, id("1"): 2})
 		seen := map[incarnation.ID]bool{}
 		for range 60 {
-			seen[pick(t, b, balance.Ask{Servers: servers(4)}).Server.ID] = true
+			seen[pick(t, b, balance.Request{Servers: servers(4)}).Server.ID] = true
 		}
 		assert.DeepEqual(t, seen, map[incarnation.ID]bool{id("1"): true, id("2"): true, id("3"): true})
-		fail := func(place int) { pick(t, b, balance.Ask{Servers: servers(4)[place : place+1]}).Done(balance.Failed) }
+		fail := func(place int) {
+			pick(t, b, balance.Request{Servers: servers(4)[place : place+1]}).Done(balance.Failed)
+		}
 		fail(2)
 		fail(3)
-		pick(t, b, balance.Ask{Servers: servers(4)[3:]}).Done(balance.Answered)
+		pick(t, b, balance.Request{Servers: servers(4)[3:]}).Done(balance.Answered)
 		assert.DeepEqual(t, b.Failing(), []incarnation.ID{id("2")}) // what answered since is not failing
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, len(b.Failing()), 0)
@@ -87,7 +89,7 @@
 		}
 		for range perSecond * len(c.servers) / int(time.Second/step) {
 			b := c.daemons[c.random.IntN(len(c.daemons))]
-			choice, found := b.Pick(&balance.Ask{Route: "r", Servers: c.servers})
+			choice, found := b.Pick(&balance.Request{Route: "r", Servers: c.servers})
 			assert.Assert(t, found)
 			var place int
 			_, err := fmt.Sscan(choice.Server.ID.Server, &place)
--- a/internal/front/balance/load.go
+++ b/internal/front/balance/load.go
@@ -60,7 +60,7 @@
 
 // Alone returns how long a turn with so many tokens out takes on an idle server that holds as much of its prompt as
 // any does.
-func (b *Balancer) Alone(ask *Ask, generated int64) time.Duration {
+func (b *Balancer) Alone(ask *Request, generated int64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(ask.Servers) == 0 {
@@ -72,7 +72,7 @@
 }
 
 // mostCached returns the server that is known to hold most of a prompt, and how many tokens it holds.
-func (b *Balancer) mostCached(ask *Ask) (holder incarnation.ID, tokens int64) {
+func (b *Balancer) mostCached(ask *Request) (holder incarnation.ID, tokens int64) {
 	for id, s := range b.states {
 		if cached := s.parts.cached(ask.Parts); cached > tokens {
 			holder, tokens = id, cached
@@ -83,7 +83,7 @@
 
 // holder returns the server that is known to hold most of a turn's prompt, or nil where none does or all servers are
 // weighed anyway.
-func (b *Balancer) holder(ask *Ask) *catalog.Server {
+func (b *Balancer) holder(ask *Request) *catalog.Server {
 	if ask.PromptTokens == 0 || ask.Known == nil || ask.width >= len(ask.Servers) {
 		return nil
 	}
--- a/internal/front/balance/parts_test.go
+++ b/internal/front/balance/parts_test.go
@@ -53,10 +53,10 @@
 		balancer := New("front", place.Map{})
 		balancer.Learn(turn.Place{Server: b, Part: "parent", Held: 2000})
 		balancer.Learn(turn.Place{Server: c, Part: "session", Held: 400})
-		choice, found := balancer.Pick(&Ask{Servers: list, PromptTokens: 3200, Parts: prompt})
+		choice, found := balancer.Pick(&Request{Servers: list, PromptTokens: 3200, Parts: prompt})
 		assert.Assert(t, found)
 		assert.Equal(t, choice.Server.ID, c)
-		first, found := balancer.Pick(&Ask{Servers: list, PromptTokens: 2600, Parts: append(prompt[:2:2], call.Part{ID: "helper", Tokens: 100})})
+		first, found := balancer.Pick(&Request{Servers: list, PromptTokens: 2600, Parts: append(prompt[:2:2], call.Part{ID: "helper", Tokens: 100})})
 		assert.Assert(t, found)
 		assert.Equal(t, first.Server.ID, b, "a helper's prompt begins with its parent's")
 	}
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -34,16 +34,16 @@
 	old, new := startsOf("a", 1), startsOf("a", 2)
 	b.Learn(turn.Place{Server: old[0].ID, Part: "own", Held: 900})
 	for range 3 {
-		pick(t, b, balance.Ask{Servers: old}).Done(balance.Failed)
+		pick(t, b, balance.Request{Servers: old}).Done(balance.Failed)
 	}
-	pick(t, b, balance.Ask{Servers: old})
+	pick(t, b, balance.Request{Servers: old})
 	b.SetReported(map[incarnation.ID]int{old[0].ID: 5}, nil)
 	b.SetOthers(map[incarnation.ID]int{old[0].ID: 300})
 	assert.Assert(t, b.View(old[0].ID).Ejected)
 	assert.DeepEqual(t, b.View(new[0].ID), balance.View{})
 	list := append(new, startsOf("b", 1)...)
 	list[1].DataCentre = "there"
-	choice := pick(t, b, balance.Ask{Servers: list, PromptTokens: 1000, Parts: []call.Part{{ID: "own", Tokens: 1000}}})
+	choice := pick(t, b, balance.Request{Servers: list, PromptTokens: 1000, Parts: []call.Part{{ID: "own", Tokens: 1000}}})
 	assert.Equal(t, choice.Server.ID, new[0].ID, "the start is neither ejected nor suspected nor loaded")
 	assert.Equal(t, choice.InFlight, 0)
 	assert.Equal(t, choice.Uncached, int64(1000), "it holds nothing of prompts")
@@ -54,7 +54,7 @@
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	causes := map[string]context.Context{}
 	bind := func(name string, server []*catalog.Server) *balance.Choice {
-		choice := pick(t, b, balance.Ask{Servers: server})
+		choice := pick(t, b, balance.Request{Servers: server})
 		ctx, cancel := context.WithCancelCause(context.Background())
 		choice.Bind(cancel)
 		causes[name] = ctx
@@ -65,7 +65,7 @@
 	bind("other server", startsOf("b", 1))
 	bind("same start", startsOf("a", 2))
 	bind("no start known", startsOf("a", 0))
-	late := pick(t, b, balance.Ask{Servers: startsOf("a", 1)})
+	late := pick(t, b, balance.Request{Servers: startsOf("a", 1)})
 	assert.Equal(t, b.Started(start("a", 2)), 1)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	late.Bind(cancel)
--- a/internal/front/balance/way_test.go
+++ b/internal/front/balance/way_test.go
@@ -19,8 +19,8 @@
 func TestTurnsStayInTheirRegion(t *testing.T) {
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	list := []*catalog.Server{{ID: id("home"), Service: "svc", DataCentre: "a2", Slots: 8}, {ID: id("away"), Service: "svc", DataCentre: "b1", Slots: 8}}
-	ask := func() balance.Ask {
-		return balance.Ask{Route: "r", Servers: list, PromptTokens: 900, Parts: []call.Part{{ID: "shared", Tokens: 800}}}
+	ask := func() balance.Request {
+		return balance.Request{Route: "r", Servers: list, PromptTokens: 900, Parts: []call.Part{{ID: "shared", Tokens: 800}}}
 	}
 	b := balance.New("front", place.Map{DataCentre: "a1", Regions: regions})
 	for range 50 {
@@ -46,6 +46,6 @@
 	}
 	b := balance.New("front", place.Map{DataCentre: "a1", Regions: regions})
 	for range 4 {
-		assert.Equal(t, pick(t, b, balance.Ask{Route: "r", Servers: list}).Server.DataCentre, "a1")
+		assert.Equal(t, pick(t, b, balance.Request{Route: "r", Servers: list}).Server.DataCentre, "a1")
 	}
 }
--- a/internal/front/balance/width.go
+++ b/internal/front/balance/width.go
@@ -26,7 +26,7 @@
 }
 
 // width returns how many servers are weighed for a request: all before anything is known of the other daemons.
-func (b *Balancer) width(ask *Ask, now time.Time) int {
+func (b *Balancer) width(ask *Request, now time.Time) int {
 	if len(ask.Servers) == 0 || !b.demandKnown {
 		return len(ask.Servers)
 	}
--- a/internal/front/balance/width_test.go
+++ b/internal/front/balance/width_test.go
@@ -133,7 +133,7 @@
 
 // turn is a program's first turn.
 func (f *thinFleet) turn(t *testing.T, d *thinDaemon) {
-	ask := balance.Ask{Route: "r", Servers: d.servers, DataCentres: thinDataCentres, PromptTokens: 3590,
+	ask := balance.Request{Route: "r", Servers: d.servers, DataCentres: thinDataCentres, PromptTokens: 3590,
 		Parts: []call.Part{{ID: "shared", Tokens: thinSharedTokens}, {ID: fmt.Sprint("own", f.turns), Tokens: 1030}}}
 	choice := pick(t, d.balancer, ask)
 	f.turns++
--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -140,7 +140,7 @@
 func (x *exchange) known(id incarnation.ID) *catalog.Server { return x.g.catalog.Servers().Server(id) }
 
 // look tells the choice of a server which there are now: one that has begun to leave since the last try must get nothing more.
-func (x *exchange) look(ask *balance.Ask) {
+func (x *exchange) look(ask *balance.Request) {
 	servers := x.g.catalog.Servers()
 	fleet := servers.Of(x.service)
 	if service := x.table.Service(x.service); service != nil {
--- a/internal/front/gateway/plain.go
+++ b/internal/front/gateway/plain.go
@@ -25,7 +25,7 @@
 // servePlain sends a request to servers until one answers it, within the route's number of attempts. Where it
 // may run twice, another server is asked beside one that is silent for long.
 func (x *exchange) servePlain() *refusal {
-	c := &contest{x: x, ask: balance.Ask{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, Connected: x.connected},
+	c := &contest{x: x, ask: balance.Request{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, Connected: x.connected},
 		ended: make(chan *try, x.route.MaxAttempts)}
 	defer c.abandon()
 	hedge := time.NewTimer(x.g.balancer.HedgeAfter(x.route.Name))
@@ -54,7 +54,7 @@
 // contest is a request's tries at servers, of which the first whole answer wins.
 type contest struct {
 	x       *exchange
-	ask     balance.Ask
+	ask     balance.Request
 	ended   chan *try
 	running int
 	// sent counts the tries that may have reached a server.
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -64,7 +64,7 @@
 // allows it, another server goes on behind the last event when a server breaks off.
 type stream struct {
 	x    *exchange
-	ask  balance.Ask
+	ask  balance.Request
 	body [][]byte
 	// sent counts the tries that may have reached a server.
 	sent       int
@@ -87,7 +87,7 @@
 
 func (x *exchange) newStream(p prepared) *stream {
 	s := &stream{x: x, body: x.prompt(p.chain), events: relayed{last: x.info.LastEvent}}
-	s.ask = balance.Ask{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, PromptTokens: max(1, x.info.PromptTokens), Parts: x.info.Parts,
+	s.ask = balance.Request{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, PromptTokens: max(1, x.info.PromptTokens), Parts: x.info.Parts,
 		Connected: x.connected, Known: x.known}
 	s.last = upstream.NewFailure(verdict.NotRun, "no-server", Error.New("no server of the route's service is known"))
 	return s
