--- a/internal/front/balance/restart.go
+++ b/internal/front/balance/restart.go
@@ -10,9 +10,9 @@
 // ErrRestarted is the cause with which calls end whose server has started again.
 var ErrRestarted = errors.New("the server has started again")
 
-// Bind lets the choice's call be cancelled with ErrRestarted once the server is known to have started again: the start
+// CancelOnRestart lets the choice's call be cancelled with ErrRestarted once the server is known to have started again: the start
 // that was asked will never answer. Without it a call at a server that crashed behind a cut is silent until its deadline.
-func (c *Choice) Bind(cancel context.CancelCauseFunc) {
+func (c *Choice) CancelOnRestart(cancel context.CancelCauseFunc) {
 	b := c.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -56,7 +56,7 @@
 	bind := func(name string, server []*catalog.Server) *balance.Choice {
 		choice := pick(t, b, balance.Request{Servers: server})
 		ctx, cancel := context.WithCancelCause(context.Background())
-		choice.Bind(cancel)
+		choice.CancelOnRestart(cancel)
 		causes[name] = ctx
 		return choice
 	}
@@ -68,7 +68,7 @@
 	late := pick(t, b, balance.Request{Servers: startsOf("a", 1)})
 	assert.Equal(t, b.Started(start("a", 2)), 1)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	late.Bind(cancel)
+	late.CancelOnRestart(cancel)
 	causes["bound too late"] = ctx
 	assert.Equal(t, b.Started(start("a", 1)), 0, "word that comes late ends nothing at the later start")
 	for name, ctx := range causes {
--- a/internal/front/gateway/plain.go
+++ b/internal/front/gateway/plain.go
@@ -88,7 +88,7 @@
 	c.sent++
 	c.running++
 	ctx, cancel := context.WithCancelCause(c.x.ctx)
-	choice.Bind(cancel)
+	choice.CancelOnRestart(cancel)
 	c.cancels = append(c.cancels, func() { cancel(nil) })
 	replace := c.sent < c.x.route.MaxAttempts
 	go func() { c.ended <- c.x.fetch(ctx, choice, replace) }()
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -117,7 +117,7 @@
 		s.ask.Tried[choice.Server.ID] = true
 		s.sent++
 		ctx, cancel := context.WithCancelCause(s.x.ctx)
-		choice.Bind(cancel)
+		choice.CancelOnRestart(cancel)
 		t := &streamTry{choice: choice, began: time.Now(), ctx: ctx, cancel: func() { cancel(nil) }}
 		var failure *upstream.Failure
 		t.answer, failure = s.x.try(ctx, choice, s.body, s.events.last)
