--- a/internal/front/balance/outcome.go
+++ b/internal/front/balance/outcome.go
@@ -18,8 +18,8 @@
 	Failed
 	// Abandoned requests were given up by their caller: they tell nothing of the server.
 	Abandoned
-	// Overtaken requests were given up since another server answered first.
-	Overtaken
+	// HedgeLost requests were given up since another server answered first.
+	HedgeLost
 )
 
 // Responded tells that the head of the answer is there.
@@ -76,7 +76,7 @@
 		if until := now.Add(ejectionFor(s.failures, silent, c.spare)); until.After(s.ejectedUntil) {
 			s.ejectedUntil = until
 		}
-	case Overtaken:
+	case HedgeLost:
 		b.learn(c.route, s, now.Sub(c.began).Seconds())
 	case Abandoned:
 	}
--- a/internal/front/gateway/plain.go
+++ b/internal/front/gateway/plain.go
@@ -117,7 +117,7 @@
 	for _, cancel := range c.cancels {
 		cancel()
 	}
-	overtaken := balance.Overtaken
+	overtaken := balance.HedgeLost
 	if c.x.r.Context().Err() != nil {
 		overtaken = balance.Abandoned
 	}
