--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -141,7 +141,7 @@
 		for range 20 {
 			choice := pick(t, b, ask)
 			time.Sleep(50 * time.Millisecond)
-			choice.Responded()
+			choice.HeadReceived()
 			choice.Done(balance.Answered)
 		}
 		silent := pick(t, b, ask)
@@ -149,7 +149,7 @@
 		for range 5 {
 			assert.Assert(t, pick(t, b, ask).Server.ID != silent.Server.ID)
 		}
-		silent.Responded()
+		silent.HeadReceived()
 		assert.Equal(t, pick(t, b, ask).Server.ID, silent.Server.ID)
 	})
 }
@@ -161,7 +161,7 @@
 		for range 200 {
 			choice := pick(t, b, balance.Request{Route: "r", Servers: servers(2)})
 			time.Sleep(40 * time.Millisecond)
-			choice.Responded()
+			choice.HeadReceived()
 			choice.Done(balance.Answered)
 		}
 		assert.Assert(t, b.HedgeAfter("r") < unknown)
--- a/internal/front/balance/cold_test.go
+++ b/internal/front/balance/cold_test.go
@@ -75,7 +75,7 @@
 			if server := choice.Server.ID; time.Now().Before(coldUntil[server]) || !bounded {
 				got[server] = append(got[server], time.Now())
 			}
-			choice.Responded()
+			choice.HeadReceived()
 			choice.Done(balance.Answered)
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/internal/front/balance/connections_test.go
+++ b/internal/front/balance/connections_test.go
@@ -90,7 +90,7 @@
 			calls++
 			go func() {
 				time.Sleep(takes)
-				choice.Responded()
+				choice.HeadReceived()
 				choice.Done(balance.Answered)
 				connections.put(&choice.Server)
 			}()
--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -94,7 +94,7 @@
 			var place int
 			_, err := fmt.Sscan(choice.Server.ID.Server, &place)
 			assert.NilError(t, err)
-			choice.Responded()
+			choice.HeadReceived()
 			if fails(place, time.Duration(tick)*step) {
 				failed++
 				choice.Done(balance.Failed)
--- a/internal/front/balance/memory_test.go
+++ b/internal/front/balance/memory_test.go
@@ -30,7 +30,7 @@
 		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2560}}}
 		b.Alone(&ask, 40)
 		choice := pick(t, b, ask)
-		choice.Responded()
+		choice.HeadReceived()
 		choice.Done(balance.Answered)
 	}
 	held := liveBytes() - before
@@ -49,7 +49,7 @@
 		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2560}}}
 		balancer.Alone(&ask, 40)
 		choice, _ := balancer.Pick(&ask)
-		choice.Responded()
+		choice.HeadReceived()
 		choice.Done(balance.Answered)
 	}
 }
--- a/internal/front/balance/outcome.go
+++ b/internal/front/balance/outcome.go
@@ -22,8 +22,8 @@
 	HedgeLost
 )
 
-// Responded tells that the head of the answer is there.
-func (c *Choice) Responded() {
+// HeadReceived tells that the head of the answer is there.
+func (c *Choice) HeadReceived() {
 	b := c.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/balance/width_test.go
+++ b/internal/front/balance/width_test.go
@@ -149,7 +149,7 @@
 		f.readAgain++
 	}
 	time.Sleep(thinTurnTime)
-	choice.Responded()
+	choice.HeadReceived()
 	choice.Generated = 24
 	choice.Done(balance.Answered)
 }
--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -70,7 +70,7 @@
 		}
 		return nil, failure
 	}
-	choice.Responded()
+	choice.HeadReceived()
 	switch {
 	case answer.Reply.NotRun:
 		_, _ = io.Copy(io.Discard, answer.Body) // so that the connection can be kept; the answer says all
