--- a/internal/front/balance/parts.go
+++ b/internal/front/balance/parts.go
@@ -67,8 +67,8 @@
 	return 0
 }
 
-// Learn notes what servers are known to hold, from this daemon or from others.
-func (b *Balancer) Learn(places ...turn.Place) {
+// RecordCached notes what servers are known to hold, from this daemon or from others.
+func (b *Balancer) RecordCached(places ...turn.Place) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range places {
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -84,10 +84,10 @@
 	x.g.log.WithFields(logrus.Fields{"event": "turn", "id": x.info.ID, "program": x.info.Program, "previous": x.info.PreviousTurn,
 		"before": len(chain), "spent": account.Spent, "places": len(account.Places), "reserve": x.info.MaxOutputTokens, "budget": x.info.TokenBudget,
 		"ms": time.Since(x.arrived).Milliseconds()}).Info("turn prepared")
-	x.g.balancer.Learn(account.Places...)
+	x.g.balancer.RecordCached(account.Places...)
 	if n := len(chain); n > 0 {
 		if place, known := chain[n-1].Place(); known {
-			x.g.balancer.Learn(place)
+			x.g.balancer.RecordCached(place)
 		}
 	}
 	refused := refusalOf(chainErr, reserveErr)
@@ -138,7 +138,7 @@
 	if n := len(x.info.Parts); n > 0 {
 		last := x.info.Parts[n-1]
 		record.Part, record.Held = last.ID, last.Tokens+tokens
-		x.g.balancer.Learn(turn.Place{Server: server.ID, Part: record.Part, Held: record.Held})
+		x.g.balancer.RecordCached(turn.Place{Server: server.ID, Part: record.Part, Held: record.Held})
 	}
 	if !x.route.Kept {
 		if p.reservation != nil {
