--- a/internal/front/balance/way.go
+++ b/internal/front/balance/way.go
@@ -15,8 +15,8 @@
 	firstUsual = 0.1
 )
 
-// LearnWay notes how long a connection to a data centre took: the way there and back.
-func (b *Balancer) LearnWay(dataCentre string, took time.Duration) {
+// RecordConnectTime notes how long a connection to a data centre took: the way there and back.
+func (b *Balancer) RecordConnectTime(dataCentre string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	blend(b.ways, dataCentre, took.Seconds(), wayWeight)
--- a/internal/front/balance/way_test.go
+++ b/internal/front/balance/way_test.go
@@ -24,7 +24,7 @@
 	}
 	b := balance.New("front", place.Map{DataCentre: "a1", Regions: regions})
 	for range 50 {
-		b.LearnWay("b1", 30*time.Millisecond)
+		b.RecordConnectTime("b1", 30*time.Millisecond)
 	}
 	b.RecordCached(turn.Place{Server: id("away"), Part: "shared", Held: 800})
 	assert.Equal(t, pick(t, b, ask()).Server.ID, id("home"), "800 tokens are read in 16 ms")
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -330,7 +330,7 @@
 // learnWay notes how long a connection to a server took.
 func (f *front) learnWay(to upstream.Endpoint, took time.Duration) {
 	if server := f.catalog.Servers().Server(to.Server); server != nil {
-		f.balancer.LearnWay(server.DataCentre, took)
+		f.balancer.RecordConnectTime(server.DataCentre, took)
 	}
 }
 
