--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -174,12 +174,12 @@
 // is left.
 func TestOthersWordCounts(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
-	b.SetReported(map[incarnation.ID]int{id("0"): 1}, nil)
+	b.SetPeerReports(map[incarnation.ID]int{id("0"): 1}, nil)
 	for range 20 {
 		assert.Assert(t, pick(t, b, balance.Request{Servers: servers(4)}).Server.ID != id("0"))
 	}
 	assert.Equal(t, pick(t, b, balance.Request{Servers: servers(1)}).Server.ID, id("0"))
-	b.SetReported(map[incarnation.ID]int{id("0"): 1, id("1"): 1, id("2"): 1}, nil)
+	b.SetPeerReports(map[incarnation.ID]int{id("0"): 1, id("1"): 1, id("2"): 1}, nil)
 	seen := map[incarnation.ID]bool{}
 	for range 40 {
 		seen[pick(t, b, balance.Request{Servers: servers(4)}).Server.ID] = true
--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -19,7 +19,7 @@
 func TestServersThatFailManyAreLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balance.New("front", place.Map{DataCentre: "here"})
-		b.SetReported(nil, map[incarnation.ID]int{id("0"): 3, id("1"): 2})
+		b.SetPeerReports(nil, map[incarnation.ID]int{id("0"): 3, id("1"): 2})
 		seen := map[incarnation.ID]bool{}
 		for range 60 {
 			seen[pick(t, b, balance.Request{Servers: servers(4)}).Server.ID] = true
@@ -72,7 +72,7 @@
 	}
 	var reply exchange.Reply
 	err := c.hub.Swap(args, &reply)
-	b.SetReported(reply.Suspects, reply.Failing)
+	b.SetPeerReports(reply.Suspects, reply.Failing)
 	b.SetDemand(map[string]int{"svc": c.demand})
 	return err
 }
--- a/internal/front/balance/suspects.go
+++ b/internal/front/balance/suspects.go
@@ -27,8 +27,8 @@
 	return b.reported[id] > 0 || b.failing[id] >= failTogether
 }
 
-// SetReported tells how many other daemons suspect each server, and how many it failed last, just now.
-func (b *Balancer) SetReported(reported, failing map[incarnation.ID]int) {
+// SetPeerReports tells how many other daemons suspect each server, and how many it failed last, just now.
+func (b *Balancer) SetPeerReports(reported, failing map[incarnation.ID]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reported, b.failing = reported, failing
--- a/internal/front/balance/width_test.go
+++ b/internal/front/balance/width_test.go
@@ -103,7 +103,7 @@
 		Demand: d.balancer.Calls()}
 	var reply exchange.Reply
 	assert.NilError(t, f.hubOf(place).Swap(args, &reply))
-	d.balancer.SetReported(reply.Suspects, reply.Failing)
+	d.balancer.SetPeerReports(reply.Suspects, reply.Failing)
 	d.balancer.SetPeers(reply.Daemons)
 	d.balancer.SetOthers(reply.Loads)
 	if f.tells {
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -310,14 +310,14 @@
 		if err != nil {
 			place++
 			moved = time.Now()
-			f.balancer.SetReported(nil, nil)
+			f.balancer.SetPeerReports(nil, nil)
 			f.gate.SetPeerDemand(nil)
 			f.log.WithFields(logrus.Fields{"event": "exchange-failed", "place": place, "error": err}).Info("asking another daemon")
 			continue
 		}
 		daemons.Observe(time.Now(), reply.Daemons)
 		here = reply.Here
-		f.balancer.SetReported(reply.Suspects, reply.Failing)
+		f.balancer.SetPeerReports(reply.Suspects, reply.Failing)
 		f.balancer.SetPeers(reply.Daemons)
 		f.balancer.SetOthers(reply.Loads)
 		f.balancer.SetDemand(reply.Demand)
