--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -320,8 +320,8 @@
 	return float64(sum) / float64(max(1, len(weighed)))
 }
 
-// SetPeers tells how many other daemons send to the same servers.
-func (b *Balancer) SetPeers(n int) {
+// SetPeerCount tells how many other daemons send to the same servers.
+func (b *Balancer) SetPeerCount(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.peers = n
--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -210,7 +210,7 @@
 func TestPromptsAreReadAnewWhereNobodyWaits(t *testing.T) {
 	for peers, stays := range map[int]bool{0: false, 50: true} {
 		b := balance.New("front", place.Map{DataCentre: "here"})
-		b.SetPeers(peers)
+		b.SetPeerCount(peers)
 		list := servers(4)
 		for range 12 { // three calls of this daemon on each server, with other prompts
 			pick(t, b, balance.Request{Servers: list, PromptTokens: 100})
--- a/internal/front/balance/cold_test.go
+++ b/internal/front/balance/cold_test.go
@@ -46,7 +46,7 @@
 	var crowd []*balance.Balancer
 	for i := range daemons {
 		b := balance.New(fmt.Sprint("front-", seed, "-", i), place.Map{DataCentre: "here"})
-		b.SetPeers(daemons - 1)
+		b.SetPeerCount(daemons - 1)
 		b.SetDemand(map[string]int{"svc": perSecond / 10})
 		crowd = append(crowd, b)
 	}
--- a/internal/front/balance/width_test.go
+++ b/internal/front/balance/width_test.go
@@ -104,7 +104,7 @@
 	var reply exchange.Reply
 	assert.NilError(t, f.hubOf(place).Swap(args, &reply))
 	d.balancer.SetPeerReports(reply.Suspects, reply.Failing)
-	d.balancer.SetPeers(reply.Daemons)
+	d.balancer.SetPeerCount(reply.Daemons)
 	d.balancer.SetOthers(reply.Loads)
 	if f.tells {
 		d.balancer.SetDemand(reply.Demand)
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -318,7 +318,7 @@
 		daemons.Observe(time.Now(), reply.Daemons)
 		here = reply.Here
 		f.balancer.SetPeerReports(reply.Suspects, reply.Failing)
-		f.balancer.SetPeers(reply.Daemons)
+		f.balancer.SetPeerCount(reply.Daemons)
 		f.balancer.SetOthers(reply.Loads)
 		f.balancer.SetDemand(reply.Demand)
 		f.gate.SetPeerDemand(reply.Demand)
