--- a/internal/front/balance/load.go
+++ b/internal/front/balance/load.go
@@ -43,8 +43,8 @@
 	return loads
 }
 
-// SetOthers tells the turns of other daemons at model servers, in tenths.
-func (b *Balancer) SetOthers(loads map[incarnation.ID]int) {
+// SetPeerLoads tells the turns of other daemons at model servers, in tenths.
+func (b *Balancer) SetPeerLoads(loads map[incarnation.ID]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sum, servers := 0.0, 0
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -38,7 +38,7 @@
 	}
 	pick(t, b, balance.Request{Servers: old})
 	b.SetPeerReports(map[incarnation.ID]int{old[0].ID: 5}, nil)
-	b.SetOthers(map[incarnation.ID]int{old[0].ID: 300})
+	b.SetPeerLoads(map[incarnation.ID]int{old[0].ID: 300})
 	assert.Assert(t, b.View(old[0].ID).Ejected)
 	assert.DeepEqual(t, b.View(new[0].ID), balance.View{})
 	list := append(new, startsOf("b", 1)...)
--- a/internal/front/balance/width_test.go
+++ b/internal/front/balance/width_test.go
@@ -105,7 +105,7 @@
 	assert.NilError(t, f.hubOf(place).Swap(args, &reply))
 	d.balancer.SetPeerReports(reply.Suspects, reply.Failing)
 	d.balancer.SetPeerCount(reply.Daemons)
-	d.balancer.SetOthers(reply.Loads)
+	d.balancer.SetPeerLoads(reply.Loads)
 	if f.tells {
 		d.balancer.SetDemand(reply.Demand)
 	}
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -319,7 +319,7 @@
 		here = reply.Here
 		f.balancer.SetPeerReports(reply.Suspects, reply.Failing)
 		f.balancer.SetPeerCount(reply.Daemons)
-		f.balancer.SetOthers(reply.Loads)
+		f.balancer.SetPeerLoads(reply.Loads)
 		f.balancer.SetDemand(reply.Demand)
 		f.gate.SetPeerDemand(reply.Demand)
 		f.detour.SetHelpers(reply.Peers)
