--- a/internal/front/balance/cold_test.go
+++ b/internal/front/balance/cold_test.go
@@ -47,7 +47,7 @@
 	for i := range daemons {
 		b := balance.New(fmt.Sprint("front-", seed, "-", i), place.Map{DataCentre: "here"})
 		b.SetPeerCount(daemons - 1)
-		b.SetDemand(map[string]int{"svc": perSecond / 10})
+		b.SetPeerDemand(map[string]int{"svc": perSecond / 10})
 		crowd = append(crowd, b)
 	}
 	coldUntil := map[incarnation.ID]time.Time{}
--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -73,7 +73,7 @@
 	var reply exchange.Reply
 	err := c.hub.Swap(args, &reply)
 	b.SetPeerReports(reply.Suspects, reply.Failing)
-	b.SetDemand(map[string]int{"svc": c.demand})
+	b.SetPeerDemand(map[string]int{"svc": c.demand})
 	return err
 }
 
--- a/internal/front/balance/memory_test.go
+++ b/internal/front/balance/memory_test.go
@@ -44,7 +44,7 @@
 func BenchmarkTurn(b *testing.B) {
 	list := servers(5000)
 	balancer := balance.New("front", place.Map{DataCentre: "here"})
-	balancer.SetDemand(map[string]int{"svc": 60})
+	balancer.SetPeerDemand(map[string]int{"svc": 60})
 	for b.Loop() {
 		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2560}}}
 		balancer.Alone(&ask, 40)
--- a/internal/front/balance/width.go
+++ b/internal/front/balance/width.go
@@ -14,8 +14,8 @@
 	return maps.Clone(b.calls)
 }
 
-// SetDemand tells what other daemons have under way and waiting, by service.
-func (b *Balancer) SetDemand(others map[string]int) {
+// SetPeerDemand tells what other daemons have under way and waiting, by service.
+func (b *Balancer) SetPeerDemand(others map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
--- a/internal/front/balance/width_test.go
+++ b/internal/front/balance/width_test.go
@@ -107,7 +107,7 @@
 	d.balancer.SetPeerCount(reply.Daemons)
 	d.balancer.SetPeerLoads(reply.Loads)
 	if f.tells {
-		d.balancer.SetDemand(reply.Demand)
+		d.balancer.SetPeerDemand(reply.Demand)
 	}
 }
 
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -320,7 +320,7 @@
 		f.balancer.SetPeerReports(reply.Suspects, reply.Failing)
 		f.balancer.SetPeerCount(reply.Daemons)
 		f.balancer.SetPeerLoads(reply.Loads)
-		f.balancer.SetDemand(reply.Demand)
+		f.balancer.SetPeerDemand(reply.Demand)
 		f.gate.SetPeerDemand(reply.Demand)
 		f.detour.SetHelpers(reply.Peers)
 	}
