--- a/internal/front/balance/restart.go
+++ b/internal/front/balance/restart.go
@@ -26,10 +26,10 @@
 	c.state.calls[c] = cancel
 }
 
-// Started takes note of a server's start, and cancels the calls at earlier ones. It returns how many those were. A start
+// ServerStarted takes note of a server's start, and cancels the calls at earlier ones. It returns how many those were. A start
 // that seems earlier than one with calls leaves them alone: the clock of the server's VM may have been set back, or the
 // word is old; those calls end as before, with their answer or their time.
-func (b *Balancer) Started(id incarnation.ID) int {
+func (b *Balancer) ServerStarted(id incarnation.ID) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	cancelled := 0
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -66,11 +66,11 @@
 	bind("same start", startsOf("a", 2))
 	bind("no start known", startsOf("a", 0))
 	late := pick(t, b, balance.Request{Servers: startsOf("a", 1)})
-	assert.Equal(t, b.Started(start("a", 2)), 1)
+	assert.Equal(t, b.ServerStarted(start("a", 2)), 1)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	late.CancelOnRestart(cancel)
 	causes["bound too late"] = ctx
-	assert.Equal(t, b.Started(start("a", 1)), 0, "word that comes late ends nothing at the later start")
+	assert.Equal(t, b.ServerStarted(start("a", 1)), 0, "word that comes late ends nothing at the later start")
 	for name, ctx := range causes {
 		ended := name == "earlier" || name == "bound too late"
 		assert.Equal(t, context.Cause(ctx) == balance.ErrRestarted, ended, "call %q: %v", name, context.Cause(ctx))
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -209,7 +209,7 @@
 
 // serverStarted ends what is under way at earlier starts of a server: those will never answer.
 func (f *front) serverStarted(id incarnation.ID) {
-	if calls := f.balancer.Started(id); calls > 0 {
+	if calls := f.balancer.ServerStarted(id); calls > 0 {
 		f.log.WithFields(logrus.Fields{"event": "server-restarted", "server": id, "calls": calls}).Warn("server started again; calls at its earlier start ended")
 	}
 }
