--- a/internal/front/balance/load.go
+++ b/internal/front/balance/load.go
@@ -58,9 +58,9 @@
 	b.othersMean = sum / float64(max(1, servers))
 }
 
-// Alone returns how long a turn with so many tokens out takes on an idle server that holds as much of its prompt as
+// UnloadedDuration returns how long a turn with so many tokens out takes on an idle server that holds as much of its prompt as
 // any does.
-func (b *Balancer) Alone(ask *Request, generated int64) time.Duration {
+func (b *Balancer) UnloadedDuration(ask *Request, generated int64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(ask.Servers) == 0 {
--- a/internal/front/balance/memory_test.go
+++ b/internal/front/balance/memory_test.go
@@ -28,7 +28,7 @@
 	before := liveBytes()
 	for range 10 {
 		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2560}}}
-		b.Alone(&ask, 40)
+		b.UnloadedDuration(&ask, 40)
 		choice := pick(t, b, ask)
 		choice.HeadReceived()
 		choice.Done(balance.Answered)
@@ -47,7 +47,7 @@
 	balancer.SetPeerDemand(map[string]int{"svc": 60})
 	for b.Loop() {
 		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2560}}}
-		balancer.Alone(&ask, 40)
+		balancer.UnloadedDuration(&ask, 40)
 		choice, _ := balancer.Pick(&ask)
 		choice.HeadReceived()
 		choice.Done(balance.Answered)
--- a/internal/front/gateway/enter.go
+++ b/internal/front/gateway/enter.go
@@ -29,7 +29,7 @@
 		Priority: int32(max(0, lowestPriority-x.priority()))}
 	x.look(&s.ask)
 	c.Slots = s.ask.Slots
-	c.UnloadedDuration = x.g.balancer.Alone(&s.ask, x.info.LikelyOutputTokens)
+	c.UnloadedDuration = x.g.balancer.UnloadedDuration(&s.ask, x.info.LikelyOutputTokens)
 	if x.info.FinishIn > 0 {
 		c.Deadline = x.arrived.Add(x.info.FinishIn)
 	}
