--- a/internal/front/balance/suspects.go
+++ b/internal/front/balance/suspects.go
@@ -69,8 +69,8 @@
 // View is what is known of one server.
 type View struct {
 	InFlight int `json:"in_flight"`
-	// Pace is the mean time of its answers against that of like calls at all servers.
-	Pace float64 `json:"pace"`
+	// LatencyRatio is the mean time of its answers against that of like calls at all servers.
+	LatencyRatio float64 `json:"pace"`
 	// Ejected servers failed repeatedly; Reported is how many other daemons suspect it, Failing how many it failed last.
 	Ejected  bool `json:"ejected"`
 	Reported int  `json:"reported"`
@@ -83,7 +83,7 @@
 	defer b.mu.Unlock()
 	view := View{Reported: b.reported[id], Failing: b.failing[id]}
 	if s := b.states[id]; s != nil {
-		view.InFlight, view.Pace, view.Ejected = s.inFlight, s.pace.Ratio(), time.Now().Before(s.ejectedUntil)
+		view.InFlight, view.LatencyRatio, view.Ejected = s.inFlight, s.pace.Ratio(), time.Now().Before(s.ejectedUntil)
 	}
 	return view
 }
