--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -140,8 +140,8 @@
 	Terms catalog.Terms
 	// ColdPerSecond is what one of them bears while it is cold, of all daemons together.
 	ColdPerSecond float64
-	// Known returns a start of a server that is in use, or nil; nil where that is not known.
-	Known func(incarnation.ID) *catalog.Server
+	// Lookup returns a start of a server that is in use, or nil; nil where that is not known.
+	Lookup func(incarnation.ID) *catalog.Server
 	// Tried servers are passed over.
 	Tried map[incarnation.ID]bool
 	// PromptTokens is the size of the prompt; 0 for plain requests.
--- a/internal/front/balance/load.go
+++ b/internal/front/balance/load.go
@@ -84,12 +84,12 @@
 // holder returns the server that is known to hold most of a turn's prompt, or nil where none does or all servers are
 // weighed anyway.
 func (b *Balancer) holder(ask *Request) *catalog.Server {
-	if ask.PromptTokens == 0 || ask.Known == nil || ask.width >= len(ask.Servers) {
+	if ask.PromptTokens == 0 || ask.Lookup == nil || ask.width >= len(ask.Servers) {
 		return nil
 	}
 	id, tokens := b.mostCached(ask)
 	if tokens == 0 {
 		return nil
 	}
-	return ask.Known(id)
+	return ask.Lookup(id)
 }
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -88,7 +88,7 @@
 func (x *exchange) newStream(p prepared) *stream {
 	s := &stream{x: x, body: x.prompt(p.chain), events: relayed{last: x.info.LastEvent}}
 	s.ask = balance.Request{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, PromptTokens: max(1, x.info.PromptTokens), Parts: x.info.Parts,
-		Connected: x.connected, Known: x.known}
+		Connected: x.connected, Lookup: x.known}
 	s.last = upstream.NewFailure(verdict.NotRun, "no-server", Error.New("no server of the route's service is known"))
 	return s
 }
