--- a/internal/front/catalog/fleet.go
+++ b/internal/front/catalog/fleet.go
@@ -13,8 +13,8 @@
 	"github.com/rookpass/rookpass/internal/base/place"
 )
 
-// Servers are the backend servers known at one time. They are immutable, and share what did not change with those before.
-type Servers struct {
+// ServerSnapshot are the backend servers known at one time. They are immutable, and share what did not change with those before.
+type ServerSnapshot struct {
 	// Revision of the last change.
 	Revision uint64
 	// byName has the newest start of each server, in order of their names.
@@ -48,10 +48,10 @@
 }
 
 // Of returns the servers of a service.
-func (s *Servers) Of(service string) Fleet { return s.services[service] }
+func (s *ServerSnapshot) Of(service string) Fleet { return s.services[service] }
 
 // Server returns a server's start, or nil where another start or none of the server is known.
-func (s *Servers) Server(id incarnation.ID) *Server {
+func (s *ServerSnapshot) Server(id incarnation.ID) *Server {
 	i, found := s.find(id.Server)
 	if !found || s.byName[i].ID != id {
 		return nil
@@ -60,7 +60,7 @@
 }
 
 // At returns the address of a server's start, or false where another start or none of the server is known.
-func (s *Servers) At(id incarnation.ID) (string, bool) {
+func (s *ServerSnapshot) At(id incarnation.ID) (string, bool) {
 	server := s.Server(id)
 	if server == nil {
 		return "", false
@@ -69,21 +69,21 @@
 }
 
 // find returns where a server stands in byName.
-func (s *Servers) find(name string) (int, bool) {
+func (s *ServerSnapshot) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(s.byName, name, func(server *Server, name string) int { return strings.Compare(server.ID.Server, name) })
 }
 
 // Has tells whether a server's start is known.
-func (s *Servers) Has(id incarnation.ID) bool { return s.Server(id) != nil }
+func (s *ServerSnapshot) Has(id incarnation.ID) bool { return s.Server(id) != nil }
 
 // Len returns the number of servers.
-func (s *Servers) Len() int { return len(s.byName) }
+func (s *ServerSnapshot) Len() int { return len(s.byName) }
 
 // All returns every server, in order of their names. The slice is shared: nobody may change it.
-func (s *Servers) All() []*Server { return s.byName }
+func (s *ServerSnapshot) All() []*Server { return s.byName }
 
 // with returns the servers after a change of those named, as now tells. What did not change is copied, not looked at.
-func (s *Servers) with(revision uint64, at place.Map, changed map[string]bool, now func(name string) *Server) *Servers {
+func (s *ServerSnapshot) with(revision uint64, at place.Map, changed map[string]bool, now func(name string) *Server) *ServerSnapshot {
 	var before, after []*Server
 	services := map[string]bool{}
 	for name := range changed {
@@ -96,7 +96,7 @@
 			services[server.Service] = true
 		}
 	}
-	next := &Servers{Revision: revision, byName: replace(s.byName, before, after, byName), services: maps.Clone(s.services),
+	next := &ServerSnapshot{Revision: revision, byName: replace(s.byName, before, after, byName), services: maps.Clone(s.services),
 		evacuated: s.evacuated, regions: s.regions, coldUntil: s.coldUntil}
 	if next.services == nil {
 		next.services = map[string]Fleet{}
--- a/internal/front/catalog/fleet_test.go
+++ b/internal/front/catalog/fleet_test.go
@@ -51,7 +51,7 @@
 	return o
 }
 
-func checkView(t *testing.T, view *catalog.Servers, there map[string]objectapi.Object) {
+func checkView(t *testing.T, view *catalog.ServerSnapshot, there map[string]objectapi.Object) {
 	t.Helper()
 	assert.Equal(t, view.Len(), len(there))
 	slots, names := map[string]int{}, map[string]int{}
--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -94,7 +94,7 @@
 }
 
 // Terms returns the terms of a request that may go to some homes.
-func (s *Servers) Terms(now time.Time, homes Homes, coldBounded bool) Terms {
+func (s *ServerSnapshot) Terms(now time.Time, homes Homes, coldBounded bool) Terms {
 	t := Terms{Evacuated: s.evacuated, Homes: homes, Regions: s.regions, Now: now}
 	if coldBounded {
 		t.ColdUntil = s.coldUntil
--- a/internal/front/catalog/view.go
+++ b/internal/front/catalog/view.go
@@ -15,13 +15,13 @@
 	table atomic.Pointer[Table]
 	// certain is up to when the table certainly holds every change; nil where that is not known.
 	certain atomic.Pointer[time.Time]
-	servers atomic.Pointer[Servers]
+	servers atomic.Pointer[ServerSnapshot]
 }
 
 // New returns an empty catalog.
 func New() *Catalog {
 	c := &Catalog{}
-	c.servers.Store(&Servers{})
+	c.servers.Store(&ServerSnapshot{})
 	return c
 }
 
@@ -43,7 +43,7 @@
 const neverConfirmed = time.Duration(math.MaxInt64)
 
 // Servers returns the servers known.
-func (c *Catalog) Servers() *Servers { return c.servers.Load() }
+func (c *Catalog) Servers() *ServerSnapshot { return c.servers.Load() }
 
 // DecodeConfig decodes an object; false means that it holds no configuration.
 type DecodeConfig func(objectapi.Object) (Config, bool, error)
