--- a/internal/front/catalog/fleet.go
+++ b/internal/front/catalog/fleet.go
@@ -19,7 +19,7 @@
 	Revision uint64
 	// byName has the newest start of each server, in order of their names.
 	byName   []*Server
-	services map[string]Fleet
+	services map[string]ServerPool
 	// evacuated are the data centres that are to get nothing further, regions those of all data centres.
 	evacuated map[string]bool
 	regions   map[string]string
@@ -27,8 +27,8 @@
 	coldUntil map[incarnation.ID]time.Time
 }
 
-// Fleet are the servers of one service.
-type Fleet struct {
+// ServerPool are the servers of one service.
+type ServerPool struct {
 	// Servers are all of them, draining ones too: the nearest first, and at each distance in an order that is the same at
 	// every daemon.
 	Servers []*Server
@@ -37,7 +37,7 @@
 }
 
 // Slots returns how many requests the servers take at once that may be used, and in how many data centres they stand.
-func (f Fleet) Slots(terms *Terms) (slots, dataCentres int) {
+func (f ServerPool) Slots(terms *Terms) (slots, dataCentres int) {
 	for dataCentre, n := range f.slots {
 		if terms.Bars(dataCentre) == Free {
 			slots += n
@@ -48,7 +48,7 @@
 }
 
 // Of returns the servers of a service.
-func (s *ServerSnapshot) Of(service string) Fleet { return s.services[service] }
+func (s *ServerSnapshot) Of(service string) ServerPool { return s.services[service] }
 
 // Server returns a server's start, or nil where another start or none of the server is known.
 func (s *ServerSnapshot) Server(id incarnation.ID) *Server {
@@ -99,7 +99,7 @@
 	next := &ServerSnapshot{Revision: revision, byName: replace(s.byName, before, after, byName), services: maps.Clone(s.services),
 		evacuated: s.evacuated, regions: s.regions, coldUntil: s.coldUntil}
 	if next.services == nil {
-		next.services = map[string]Fleet{}
+		next.services = map[string]ServerPool{}
 	}
 	order := byPreference(at)
 	for service := range services {
@@ -158,8 +158,8 @@
 }
 
 // fleetOf sums up servers.
-func fleetOf(servers []*Server) Fleet {
-	fleet := Fleet{Servers: servers, slots: map[string]int{}}
+func fleetOf(servers []*Server) ServerPool {
+	fleet := ServerPool{Servers: servers, slots: map[string]int{}}
 	for _, server := range servers {
 		if !server.Draining {
 			fleet.slots[server.DataCentre] += server.Slots
