--- a/internal/front/catalog/catalog_test.go
+++ b/internal/front/catalog/catalog_test.go
@@ -149,7 +149,7 @@
 	h.Change(objectapi.Event{Object: entry("c")})
 	h.Change(gone("a"))
 	h.Confirm(2, time.Now())
-	assert.Equal(t, len(c.Servers().Of("svc").Servers), 2)
+	assert.Equal(t, len(c.Servers().Pool("svc").Servers), 2)
 	assert.Assert(t, !c.Servers().Has(id("a")))
 	for _, name := range []string{"b", "c"} {
 		address, known := c.Servers().At(id(name))
--- a/internal/front/catalog/fleet.go
+++ b/internal/front/catalog/fleet.go
@@ -47,8 +47,8 @@
 	return slots, dataCentres
 }
 
-// Of returns the servers of a service.
-func (s *ServerSnapshot) Of(service string) ServerPool { return s.services[service] }
+// Pool returns the servers of a service.
+func (s *ServerSnapshot) Pool(service string) ServerPool { return s.services[service] }
 
 // Server returns a server's start, or nil where another start or none of the server is known.
 func (s *ServerSnapshot) Server(id incarnation.ID) *Server {
--- a/internal/front/catalog/fleet_test.go
+++ b/internal/front/catalog/fleet_test.go
@@ -40,7 +40,7 @@
 		}
 		late.Reset(slices.Collect(maps.Values(there)), 60)
 		for _, service := range []string{"service-0", "service-1"} {
-			assert.DeepEqual(t, c.Servers().Of(service).Servers, other.Servers().Of(service).Servers)
+			assert.DeepEqual(t, c.Servers().Pool(service).Servers, other.Servers().Pool(service).Servers)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		names[server.Service]++
 	}
 	for _, service := range []string{"service-0", "service-1"} {
-		fleet := view.Of(service)
+		fleet := view.Pool(service)
 		assert.Equal(t, len(fleet.Servers), names[service])
 		total, _ := fleet.Slots(&catalog.Terms{})
 		assert.Equal(t, total, slots[service])
@@ -88,7 +88,7 @@
 			objects = append(objects, writtenEntry(i, 1))
 		}
 		h.Reset(objects, 1)
-		for _, server := range c.Servers().Of("service-0").Servers {
+		for _, server := range c.Servers().Pool("service-0").Servers {
 			if server.DataCentre == "hall-2" {
 				orders[dataCentre] = append(orders[dataCentre], server.ID.Server)
 			}
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -99,7 +99,7 @@
 	h.Reset(objects, 1)
 	slots := func() int {
 		terms := c.Servers().Terms(time.Now(), nil, true)
-		n, _ := c.Servers().Of("service-0").Slots(&terms)
+		n, _ := c.Servers().Pool("service-0").Slots(&terms)
 		return n
 	}
 	all := slots()
--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -142,7 +142,7 @@
 // look tells the choice of a server which there are now: one that has begun to leave since the last try must get nothing more.
 func (x *exchange) look(ask *balance.Request) {
 	servers := x.g.catalog.Servers()
-	fleet := servers.Of(x.service)
+	fleet := servers.Pool(x.service)
 	if service := x.table.Service(x.service); service != nil {
 		ask.ColdPerSecond = service.ColdPerSecond
 	}
