--- a/internal/front/catalog/catalog_test.go
+++ b/internal/front/catalog/catalog_test.go
@@ -152,7 +152,7 @@
 	assert.Equal(t, len(c.Servers().Pool("svc").Servers), 2)
 	assert.Assert(t, !c.Servers().Has(id("a")))
 	for _, name := range []string{"b", "c"} {
-		address, known := c.Servers().At(id(name))
+		address, known := c.Servers().Address(id(name))
 		assert.Assert(t, known)
 		assert.Equal(t, address, name)
 	}
--- a/internal/front/catalog/fleet.go
+++ b/internal/front/catalog/fleet.go
@@ -59,8 +59,8 @@
 	return s.byName[i]
 }
 
-// At returns the address of a server's start, or false where another start or none of the server is known.
-func (s *ServerSnapshot) At(id incarnation.ID) (string, bool) {
+// Address returns the address of a server's start, or false where another start or none of the server is known.
+func (s *ServerSnapshot) Address(id incarnation.ID) (string, bool) {
 	server := s.Server(id)
 	if server == nil {
 		return "", false
--- a/internal/front/catalog/fleet_test.go
+++ b/internal/front/catalog/fleet_test.go
@@ -58,7 +58,7 @@
 	for _, object := range there {
 		server, err := decodeWritten(object)
 		assert.NilError(t, err)
-		address, known := view.At(server.ID)
+		address, known := view.Address(server.ID)
 		assert.Assert(t, known)
 		assert.Equal(t, address, server.Address)
 		slots[server.Service] += server.Slots
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -347,7 +347,7 @@
 	for wait.For(ctx, sweepPause) == nil {
 		servers := f.catalog.Servers()
 		f.pool.CloseIdle(func(e upstream.Endpoint) bool {
-			address, known := servers.At(e.Server)
+			address, known := servers.Address(e.Server)
 			return known && address == e.Address
 		})
 		f.balancer.Forget(servers.Has)
