--- a/internal/front/catalog/catalog.go
+++ b/internal/front/catalog/catalog.go
@@ -69,7 +69,7 @@
 	// Public routes take requests without a key.
 	Public bool
 	// Homes are the regions to which requests may go.
-	Homes Homes
+	Homes AllowedRegions
 }
 
 // Service is a set of like backend servers.
--- a/internal/front/catalog/organisation.go
+++ b/internal/front/catalog/organisation.go
@@ -20,7 +20,7 @@
 	// Limit bounds its requests over all daemons together.
 	Limit quota.Limit
 	// Homes are the regions to which its requests may go.
-	Homes Homes
+	Homes AllowedRegions
 }
 
 // owners returns the organisation of each key. A key that two organisations claim proves neither.
--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -28,7 +28,7 @@
 	// Evacuated are the data centres that are to get nothing further.
 	Evacuated map[string]bool
 	// Homes are the regions to which the request may go, nil for all; Regions has those of data centres.
-	Homes   Homes
+	Homes   AllowedRegions
 	Regions map[string]string
 	// ColdUntil is when servers will no longer be cold; nil where their service bears as much as ever.
 	ColdUntil map[incarnation.ID]time.Time
@@ -61,15 +61,15 @@
 	}
 }
 
-// Homes are regions to which requests are bound; nil for none.
-type Homes map[string]bool
+// AllowedRegions are regions to which requests are bound; nil for none.
+type AllowedRegions map[string]bool
 
 // NewHomes returns the homes named, nil where there are none.
-func NewHomes(regions []string) Homes {
+func NewHomes(regions []string) AllowedRegions {
 	if len(regions) == 0 {
 		return nil
 	}
-	h := Homes{}
+	h := AllowedRegions{}
 	for _, region := range regions {
 		h[region] = true
 	}
@@ -77,14 +77,14 @@
 }
 
 // Allow tells whether requests may go to a region.
-func (h Homes) Allow(region string) bool { return h == nil || h[region] }
+func (h AllowedRegions) Allow(region string) bool { return h == nil || h[region] }
 
 // And returns the regions that both allow.
-func (h Homes) And(other Homes) Homes {
+func (h AllowedRegions) And(other AllowedRegions) AllowedRegions {
 	if h == nil {
 		return other
 	}
-	both := Homes{}
+	both := AllowedRegions{}
 	for region := range h {
 		if other.Allow(region) {
 			both[region] = true
@@ -94,7 +94,7 @@
 }
 
 // Terms returns the terms of a request that may go to some homes.
-func (s *ServerSnapshot) Terms(now time.Time, homes Homes, coldBounded bool) Terms {
+func (s *ServerSnapshot) Terms(now time.Time, homes AllowedRegions, coldBounded bool) Terms {
 	t := Terms{Evacuated: s.evacuated, Homes: homes, Regions: s.regions, Now: now}
 	if coldBounded {
 		t.ColdUntil = s.coldUntil
