--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -64,8 +64,8 @@
 // AllowedRegions are regions to which requests are bound; nil for none.
 type AllowedRegions map[string]bool
 
-// NewHomes returns the homes named, nil where there are none.
-func NewHomes(regions []string) AllowedRegions {
+// NewAllowedRegions returns the homes named, nil where there are none.
+func NewAllowedRegions(regions []string) AllowedRegions {
 	if len(regions) == 0 {
 		return nil
 	}
