--- a/internal/front/catalog/catalog.go
+++ b/internal/front/catalog/catalog.go
@@ -68,8 +68,8 @@
 	PreferCached bool
 	// Public routes take requests without a key.
 	Public bool
-	// Homes are the regions to which requests may go.
-	Homes AllowedRegions
+	// AllowedRegions are the regions to which requests may go.
+	AllowedRegions AllowedRegions
 }
 
 // Service is a set of like backend servers.
--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -153,7 +153,7 @@
 // homes returns the regions to which the request may go: both its route and its organisation bind it.
 func (x *exchange) homes() catalog.AllowedRegions {
 	if x.organisation == nil {
-		return x.route.Homes
+		return x.route.AllowedRegions
 	}
-	return x.route.Homes.And(x.organisation.Homes)
+	return x.route.AllowedRegions.And(x.organisation.Homes)
 }
