--- a/internal/front/catalog/organisation.go
+++ b/internal/front/catalog/organisation.go
@@ -19,8 +19,8 @@
 	HasPriority bool
 	// Limit bounds its requests over all daemons together.
 	Limit quota.Limit
-	// Homes are the regions to which its requests may go.
-	Homes AllowedRegions
+	// AllowedRegions are the regions to which its requests may go.
+	AllowedRegions AllowedRegions
 }
 
 // owners returns the organisation of each key. A key that two organisations claim proves neither.
