--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -27,9 +27,9 @@
 type Terms struct {
 	// Evacuated are the data centres that are to get nothing further.
 	Evacuated map[string]bool
-	// Homes are the regions to which the request may go, nil for all; Regions has those of data centres.
-	Homes   AllowedRegions
-	Regions map[string]string
+	// AllowedRegions are the regions to which the request may go, nil for all; Regions has those of data centres.
+	AllowedRegions AllowedRegions
+	Regions        map[string]string
 	// ColdUntil is when servers will no longer be cold; nil where their service bears as much as ever.
 	ColdUntil map[incarnation.ID]time.Time
 	Now       time.Time
@@ -54,7 +54,7 @@
 	switch {
 	case t.Evacuated[dataCentre]:
 		return BarEvacuated
-	case !t.Homes.Allow(t.Regions[dataCentre]):
+	case !t.AllowedRegions.Allow(t.Regions[dataCentre]):
 		return BarForbidden
 	default:
 		return Free
@@ -95,7 +95,7 @@
 
 // Terms returns the terms of a request that may go to some homes.
 func (s *ServerSnapshot) Terms(now time.Time, homes AllowedRegions, coldBounded bool) Terms {
-	t := Terms{Evacuated: s.evacuated, Homes: homes, Regions: s.regions, Now: now}
+	t := Terms{Evacuated: s.evacuated, AllowedRegions: homes, Regions: s.regions, Now: now}
 	if coldBounded {
 		t.ColdUntil = s.coldUntil
 	}
