--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -79,8 +79,8 @@
 // Allow tells whether requests may go to a region.
 func (h AllowedRegions) Allow(region string) bool { return h == nil || h[region] }
 
-// And returns the regions that both allow.
-func (h AllowedRegions) And(other AllowedRegions) AllowedRegions {
+// Intersect returns the regions that both allow.
+func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
 	if h == nil {
 		return other
 	}
--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -155,5 +155,5 @@
 	if x.organisation == nil {
 		return x.route.AllowedRegions
 	}
-	return x.route.AllowedRegions.And(x.organisation.AllowedRegions)
+	return x.route.AllowedRegions.Intersect(x.organisation.AllowedRegions)
 }
