--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -6,21 +6,21 @@
 	"github.com/rookpass/rookpass/internal/base/incarnation"
 )
 
-// Bar is why a server may get no request for now. Bars are words for logs and pages.
-type Bar string
+// Restriction is why a server may get no request for now. Bars are words for logs and pages.
+type Restriction string
 
 // The bars.
 const (
 	// Free servers may get requests.
-	Free Bar = ""
+	Free Restriction = ""
 	// BarDraining servers have said that they leave.
-	BarDraining Bar = "draining"
+	BarDraining Restriction = "draining"
 	// BarEvacuated servers stand in a data centre that is to get nothing further.
-	BarEvacuated Bar = "evacuated"
+	BarEvacuated Restriction = "evacuated"
 	// BarForbidden servers stand in a region to which the request must not go.
-	BarForbidden Bar = "forbidden"
+	BarForbidden Restriction = "forbidden"
 	// BarCold servers have just started, and bear few requests.
-	BarCold Bar = "cold"
+	BarCold Restriction = "cold"
 )
 
 // Terms are what servers may be used under for one request at one time. The zero value bars those alone that drain.
@@ -36,7 +36,7 @@
 }
 
 // Bar returns why a server may get no request.
-func (t *Terms) Bar(server *Server) Bar {
+func (t *Terms) Bar(server *Server) Restriction {
 	switch {
 	case server.Draining:
 		return BarDraining
@@ -50,7 +50,7 @@
 }
 
 // Bars returns why no server of a data centre may get a request.
-func (t *Terms) Bars(dataCentre string) Bar {
+func (t *Terms) Bars(dataCentre string) Restriction {
 	switch {
 	case t.Evacuated[dataCentre]:
 		return BarEvacuated
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -21,7 +21,7 @@
 	for name, row := range map[string]struct {
 		server catalog.Server
 		terms  catalog.Terms
-		want   catalog.Bar
+		want   catalog.Restriction
 	}{
 		"nothing bars":               {at("a1"), catalog.Terms{Regions: regions}, catalog.Free},
 		"draining":                   {draining, catalog.Terms{}, catalog.BarDraining},
@@ -53,7 +53,7 @@
 		return server, nil
 	}
 	h := catalog.NewServersHandler(o)
-	bar := func(after time.Duration) catalog.Bar {
+	bar := func(after time.Duration) catalog.Restriction {
 		terms := c.Servers().Terms(time.Now().Add(after), nil, true)
 		return terms.Bar(c.Servers().Server(id("s")))
 	}
@@ -77,7 +77,7 @@
 	h.Reset([]objectapi.Object{writtenEntry(2, 1), writtenEntry(3, 1)}, 1)
 	h.SetEvacuated("hall-2", true)
 	h.SetEvacuated("hall-2", false)
-	bars := func(after time.Duration) (returned, other catalog.Bar) {
+	bars := func(after time.Duration) (returned, other catalog.Restriction) {
 		terms := c.Servers().Terms(time.Now().Add(after), nil, true)
 		return terms.Bar(c.Servers().Server(id("i-00000002"))), terms.Bar(c.Servers().Server(id("i-00000003")))
 	}
