--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -266,7 +266,7 @@
 // turn: all of them together must not send it more than it bears.
 func (b *Balancer) open(ask *Request, server *catalog.Server, now time.Time, trust trust) bool {
 	switch ask.Terms.Bar(server) {
-	case catalog.Free:
+	case catalog.Unrestricted:
 		return true
 	case catalog.BarCold:
 		return trust >= warming && b.coldTurn(ask, server, now)
--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -11,8 +11,8 @@
 
 // The bars.
 const (
-	// Free servers may get requests.
-	Free Restriction = ""
+	// Unrestricted servers may get requests.
+	Unrestricted Restriction = ""
 	// BarDraining servers have said that they leave.
 	BarDraining Restriction = "draining"
 	// BarEvacuated servers stand in a data centre that is to get nothing further.
@@ -40,12 +40,12 @@
 	switch {
 	case server.Draining:
 		return BarDraining
-	case t.Bars(server.DataCentre) != Free:
+	case t.Bars(server.DataCentre) != Unrestricted:
 		return t.Bars(server.DataCentre)
 	case len(t.ColdUntil) > 0 && t.Now.Before(t.ColdUntil[server.ID]):
 		return BarCold
 	default:
-		return Free
+		return Unrestricted
 	}
 }
 
@@ -57,7 +57,7 @@
 	case !t.AllowedRegions.Allow(t.Regions[dataCentre]):
 		return BarForbidden
 	default:
-		return Free
+		return Unrestricted
 	}
 }
 
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -23,18 +23,18 @@
 		terms  catalog.Terms
 		want   catalog.Restriction
 	}{
-		"nothing bars":               {at("a1"), catalog.Terms{Regions: regions}, catalog.Free},
+		"nothing bars":               {at("a1"), catalog.Terms{Regions: regions}, catalog.Unrestricted},
 		"draining":                   {draining, catalog.Terms{}, catalog.BarDraining},
 		"evacuated":                  {at("b1"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.BarEvacuated},
-		"another one is evacuated":   {at("b2"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.Free},
-		"at home":                    {at("b2"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.Free},
+		"another one is evacuated":   {at("b2"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.Unrestricted},
+		"at home":                    {at("b2"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.Unrestricted},
 		"away from home":             {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.BarForbidden},
 		"no region known":            {at("c1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.BarForbidden},
 		"homes that never meet":      {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"a"}).Intersect(catalog.NewAllowedRegions([]string{"b"}))}, catalog.BarForbidden},
 		"one of two homes binds":     {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(catalog.NewAllowedRegions([]string{"b"}))}, catalog.BarForbidden},
-		"no homes":                   {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(nil)}, catalog.Free},
+		"no homes":                   {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(nil)}, catalog.Unrestricted},
 		"cold":                       {at("a1"), catalog.Terms{ColdUntil: cold, Now: now}, catalog.BarCold},
-		"no longer cold":             {at("a1"), catalog.Terms{ColdUntil: cold, Now: now.Add(time.Second)}, catalog.Free},
+		"no longer cold":             {at("a1"), catalog.Terms{ColdUntil: cold, Now: now.Add(time.Second)}, catalog.Unrestricted},
 		"evacuated goes before cold": {at("a1"), catalog.Terms{Evacuated: map[string]bool{"a1": true}, ColdUntil: cold, Now: now}, catalog.BarEvacuated},
 	} {
 		assert.Equal(t, row.terms.Bar(&row.server), row.want, name)
@@ -59,12 +59,12 @@
 	}
 	h.Reset([]objectapi.Object{{Key: "s/s", Version: 1, Value: []byte("cold")}}, 1)
 	assert.Equal(t, bar(0), catalog.BarCold)
-	assert.Equal(t, bar(3*time.Second), catalog.Free)
+	assert.Equal(t, bar(3*time.Second), catalog.Unrestricted)
 	unbounded := c.Servers().Terms(time.Now(), nil, false)
-	assert.Equal(t, unbounded.Bar(c.Servers().Server(id("s"))), catalog.Free, "where its service says no bound")
+	assert.Equal(t, unbounded.Bar(c.Servers().Server(id("s"))), catalog.Unrestricted, "where its service says no bound")
 	h.Change(objectapi.Event{Object: objectapi.Object{Key: "s/s", Version: 2, Value: []byte("warm")}})
 	h.Confirm(2, time.Now())
-	assert.Equal(t, bar(0), catalog.Free)
+	assert.Equal(t, bar(0), catalog.Unrestricted)
 	h.Change(objectapi.Event{Object: objectapi.Object{Key: "s/s", Version: 3, Value: []byte("cold")}})
 	h.Confirm(3, time.Now())
 	assert.Equal(t, bar(0), catalog.BarCold, "a server may turn cold again")
@@ -83,9 +83,9 @@
 	}
 	returned, other := bars(0)
 	assert.Equal(t, returned, catalog.BarCold)
-	assert.Equal(t, other, catalog.Free)
+	assert.Equal(t, other, catalog.Unrestricted)
 	returned, _ = bars(3 * time.Second)
-	assert.Equal(t, returned, catalog.Free)
+	assert.Equal(t, returned, catalog.Unrestricted)
 }
 
 // TestEvacuatedDataCentreHasNoSlots, and is in use again once the evacuation is taken back.
