--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -13,8 +13,8 @@
 const (
 	// Unrestricted servers may get requests.
 	Unrestricted Restriction = ""
-	// BarDraining servers have said that they leave.
-	BarDraining Restriction = "draining"
+	// RestrictedDraining servers have said that they leave.
+	RestrictedDraining Restriction = "draining"
 	// BarEvacuated servers stand in a data centre that is to get nothing further.
 	BarEvacuated Restriction = "evacuated"
 	// BarForbidden servers stand in a region to which the request must not go.
@@ -39,7 +39,7 @@
 func (t *Terms) Bar(server *Server) Restriction {
 	switch {
 	case server.Draining:
-		return BarDraining
+		return RestrictedDraining
 	case t.Bars(server.DataCentre) != Unrestricted:
 		return t.Bars(server.DataCentre)
 	case len(t.ColdUntil) > 0 && t.Now.Before(t.ColdUntil[server.ID]):
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -24,7 +24,7 @@
 		want   catalog.Restriction
 	}{
 		"nothing bars":               {at("a1"), catalog.Terms{Regions: regions}, catalog.Unrestricted},
-		"draining":                   {draining, catalog.Terms{}, catalog.BarDraining},
+		"draining":                   {draining, catalog.Terms{}, catalog.RestrictedDraining},
 		"evacuated":                  {at("b1"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.BarEvacuated},
 		"another one is evacuated":   {at("b2"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.Unrestricted},
 		"at home":                    {at("b2"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.Unrestricted},
