--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -15,8 +15,8 @@
 	Unrestricted Restriction = ""
 	// RestrictedDraining servers have said that they leave.
 	RestrictedDraining Restriction = "draining"
-	// BarEvacuated servers stand in a data centre that is to get nothing further.
-	BarEvacuated Restriction = "evacuated"
+	// RestrictedEvacuated servers stand in a data centre that is to get nothing further.
+	RestrictedEvacuated Restriction = "evacuated"
 	// BarForbidden servers stand in a region to which the request must not go.
 	BarForbidden Restriction = "forbidden"
 	// BarCold servers have just started, and bear few requests.
@@ -53,7 +53,7 @@
 func (t *Terms) Bars(dataCentre string) Restriction {
 	switch {
 	case t.Evacuated[dataCentre]:
-		return BarEvacuated
+		return RestrictedEvacuated
 	case !t.AllowedRegions.Allow(t.Regions[dataCentre]):
 		return BarForbidden
 	default:
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -25,7 +25,7 @@
 	}{
 		"nothing bars":               {at("a1"), catalog.Terms{Regions: regions}, catalog.Unrestricted},
 		"draining":                   {draining, catalog.Terms{}, catalog.RestrictedDraining},
-		"evacuated":                  {at("b1"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.BarEvacuated},
+		"evacuated":                  {at("b1"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.RestrictedEvacuated},
 		"another one is evacuated":   {at("b2"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.Unrestricted},
 		"at home":                    {at("b2"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.Unrestricted},
 		"away from home":             {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.BarForbidden},
@@ -35,7 +35,7 @@
 		"no homes":                   {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(nil)}, catalog.Unrestricted},
 		"cold":                       {at("a1"), catalog.Terms{ColdUntil: cold, Now: now}, catalog.BarCold},
 		"no longer cold":             {at("a1"), catalog.Terms{ColdUntil: cold, Now: now.Add(time.Second)}, catalog.Unrestricted},
-		"evacuated goes before cold": {at("a1"), catalog.Terms{Evacuated: map[string]bool{"a1": true}, ColdUntil: cold, Now: now}, catalog.BarEvacuated},
+		"evacuated goes before cold": {at("a1"), catalog.Terms{Evacuated: map[string]bool{"a1": true}, ColdUntil: cold, Now: now}, catalog.RestrictedEvacuated},
 	} {
 		assert.Equal(t, row.terms.Bar(&row.server), row.want, name)
 	}
