--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -17,8 +17,8 @@
 	RestrictedDraining Restriction = "draining"
 	// RestrictedEvacuated servers stand in a data centre that is to get nothing further.
 	RestrictedEvacuated Restriction = "evacuated"
-	// BarForbidden servers stand in a region to which the request must not go.
-	BarForbidden Restriction = "forbidden"
+	// RestrictedRegion servers stand in a region to which the request must not go.
+	RestrictedRegion Restriction = "forbidden"
 	// BarCold servers have just started, and bear few requests.
 	BarCold Restriction = "cold"
 )
@@ -55,7 +55,7 @@
 	case t.Evacuated[dataCentre]:
 		return RestrictedEvacuated
 	case !t.AllowedRegions.Allow(t.Regions[dataCentre]):
-		return BarForbidden
+		return RestrictedRegion
 	default:
 		return Unrestricted
 	}
