--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -207,7 +207,7 @@
 	}
 	s.count(now, 1)
 	b.calls[best.Service]++
-	if ask.Terms.Bar(best) == catalog.BarCold {
+	if ask.Terms.Bar(best) == catalog.RestrictedCold {
 		s.coldSent = now
 	}
 	s.waiting = append(s.waiting, now)
@@ -268,7 +268,7 @@
 	switch ask.Terms.Bar(server) {
 	case catalog.Unrestricted:
 		return true
-	case catalog.BarCold:
+	case catalog.RestrictedCold:
 		return trust >= warming && b.coldTurn(ask, server, now)
 	default:
 		return false
--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -19,8 +19,8 @@
 	RestrictedEvacuated Restriction = "evacuated"
 	// RestrictedRegion servers stand in a region to which the request must not go.
 	RestrictedRegion Restriction = "forbidden"
-	// BarCold servers have just started, and bear few requests.
-	BarCold Restriction = "cold"
+	// RestrictedCold servers have just started, and bear few requests.
+	RestrictedCold Restriction = "cold"
 )
 
 // Terms are what servers may be used under for one request at one time. The zero value bars those alone that drain.
@@ -43,7 +43,7 @@
 	case t.Bars(server.DataCentre) != Unrestricted:
 		return t.Bars(server.DataCentre)
 	case len(t.ColdUntil) > 0 && t.Now.Before(t.ColdUntil[server.ID]):
-		return BarCold
+		return RestrictedCold
 	default:
 		return Unrestricted
 	}
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -33,7 +33,7 @@
 		"homes that never meet":      {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"a"}).Intersect(catalog.NewAllowedRegions([]string{"b"}))}, catalog.RestrictedRegion},
 		"one of two homes binds":     {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(catalog.NewAllowedRegions([]string{"b"}))}, catalog.RestrictedRegion},
 		"no homes":                   {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(nil)}, catalog.Unrestricted},
-		"cold":                       {at("a1"), catalog.Terms{ColdUntil: cold, Now: now}, catalog.BarCold},
+		"cold":                       {at("a1"), catalog.Terms{ColdUntil: cold, Now: now}, catalog.RestrictedCold},
 		"no longer cold":             {at("a1"), catalog.Terms{ColdUntil: cold, Now: now.Add(time.Second)}, catalog.Unrestricted},
 		"evacuated goes before cold": {at("a1"), catalog.Terms{Evacuated: map[string]bool{"a1": true}, ColdUntil: cold, Now: now}, catalog.RestrictedEvacuated},
 	} {
@@ -58,7 +58,7 @@
 		return terms.Bar(c.Servers().Server(id("s")))
 	}
 	h.Reset([]objectapi.Object{{Key: "s/s", Version: 1, Value: []byte("cold")}}, 1)
-	assert.Equal(t, bar(0), catalog.BarCold)
+	assert.Equal(t, bar(0), catalog.RestrictedCold)
 	assert.Equal(t, bar(3*time.Second), catalog.Unrestricted)
 	unbounded := c.Servers().Terms(time.Now(), nil, false)
 	assert.Equal(t, unbounded.Bar(c.Servers().Server(id("s"))), catalog.Unrestricted, "where its service says no bound")
@@ -67,7 +67,7 @@
 	assert.Equal(t, bar(0), catalog.Unrestricted)
 	h.Change(objectapi.Event{Object: objectapi.Object{Key: "s/s", Version: 3, Value: []byte("cold")}})
 	h.Confirm(3, time.Now())
-	assert.Equal(t, bar(0), catalog.BarCold, "a server may turn cold again")
+	assert.Equal(t, bar(0), catalog.RestrictedCold, "a server may turn cold again")
 }
 
 // TestServersReturnAsCold: until their entries had the time to tell whether they are.
@@ -82,7 +82,7 @@
 		return terms.Bar(c.Servers().Server(id("i-00000002"))), terms.Bar(c.Servers().Server(id("i-00000003")))
 	}
 	returned, other := bars(0)
-	assert.Equal(t, returned, catalog.BarCold)
+	assert.Equal(t, returned, catalog.RestrictedCold)
 	assert.Equal(t, other, catalog.Unrestricted)
 	returned, _ = bars(3 * time.Second)
 	assert.Equal(t, returned, catalog.Unrestricted)
