--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -207,7 +207,7 @@
 	}
 	s.count(now, 1)
 	b.calls[best.Service]++
-	if ask.Terms.Bar(best) == catalog.RestrictedCold {
+	if ask.Terms.Restriction(best) == catalog.RestrictedCold {
 		s.coldSent = now
 	}
 	s.waiting = append(s.waiting, now)
@@ -265,7 +265,7 @@
 // open tells whether a server may get the request under its terms. A cold one may where no other does, and in this daemon's
 // turn: all of them together must not send it more than it bears.
 func (b *Balancer) open(ask *Request, server *catalog.Server, now time.Time, trust trust) bool {
-	switch ask.Terms.Bar(server) {
+	switch ask.Terms.Restriction(server) {
 	case catalog.Unrestricted:
 		return true
 	case catalog.RestrictedCold:
--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -35,8 +35,8 @@
 	Now       time.Time
 }
 
-// Bar returns why a server may get no request.
-func (t *Terms) Bar(server *Server) Restriction {
+// Restriction returns why a server may get no request.
+func (t *Terms) Restriction(server *Server) Restriction {
 	switch {
 	case server.Draining:
 		return RestrictedDraining
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -37,7 +37,7 @@
 		"no longer cold":             {at("a1"), catalog.Terms{ColdUntil: cold, Now: now.Add(time.Second)}, catalog.Unrestricted},
 		"evacuated goes before cold": {at("a1"), catalog.Terms{Evacuated: map[string]bool{"a1": true}, ColdUntil: cold, Now: now}, catalog.RestrictedEvacuated},
 	} {
-		assert.Equal(t, row.terms.Bar(&row.server), row.want, name)
+		assert.Equal(t, row.terms.Restriction(&row.server), row.want, name)
 	}
 }
 
@@ -55,13 +55,13 @@
 	h := catalog.NewServersHandler(o)
 	bar := func(after time.Duration) catalog.Restriction {
 		terms := c.Servers().Terms(time.Now().Add(after), nil, true)
-		return terms.Bar(c.Servers().Server(id("s")))
+		return terms.Restriction(c.Servers().Server(id("s")))
 	}
 	h.Reset([]objectapi.Object{{Key: "s/s", Version: 1, Value: []byte("cold")}}, 1)
 	assert.Equal(t, bar(0), catalog.RestrictedCold)
 	assert.Equal(t, bar(3*time.Second), catalog.Unrestricted)
 	unbounded := c.Servers().Terms(time.Now(), nil, false)
-	assert.Equal(t, unbounded.Bar(c.Servers().Server(id("s"))), catalog.Unrestricted, "where its service says no bound")
+	assert.Equal(t, unbounded.Restriction(c.Servers().Server(id("s"))), catalog.Unrestricted, "where its service says no bound")
 	h.Change(objectapi.Event{Object: objectapi.Object{Key: "s/s", Version: 2, Value: []byte("warm")}})
 	h.Confirm(2, time.Now())
 	assert.Equal(t, bar(0), catalog.Unrestricted)
@@ -79,7 +79,7 @@
 	h.SetEvacuated("hall-2", false)
 	bars := func(after time.Duration) (returned, other catalog.Restriction) {
 		terms := c.Servers().Terms(time.Now().Add(after), nil, true)
-		return terms.Bar(c.Servers().Server(id("i-00000002"))), terms.Bar(c.Servers().Server(id("i-00000003")))
+		return terms.Restriction(c.Servers().Server(id("i-00000002"))), terms.Restriction(c.Servers().Server(id("i-00000003")))
 	}
 	returned, other := bars(0)
 	assert.Equal(t, returned, catalog.RestrictedCold)
