--- a/internal/front/catalog/fleet.go
+++ b/internal/front/catalog/fleet.go
@@ -39,7 +39,7 @@
 // Slots returns how many requests the servers take at once that may be used, and in how many data centres they stand.
 func (f ServerPool) Slots(terms *Terms) (slots, dataCentres int) {
 	for dataCentre, n := range f.slots {
-		if terms.Bars(dataCentre) == Unrestricted {
+		if terms.DataCentreRestriction(dataCentre) == Unrestricted {
 			slots += n
 			dataCentres++
 		}
--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -40,8 +40,8 @@
 	switch {
 	case server.Draining:
 		return RestrictedDraining
-	case t.Bars(server.DataCentre) != Unrestricted:
-		return t.Bars(server.DataCentre)
+	case t.DataCentreRestriction(server.DataCentre) != Unrestricted:
+		return t.DataCentreRestriction(server.DataCentre)
 	case len(t.ColdUntil) > 0 && t.Now.Before(t.ColdUntil[server.ID]):
 		return RestrictedCold
 	default:
@@ -49,8 +49,8 @@
 	}
 }
 
-// Bars returns why no server of a data centre may get a request.
-func (t *Terms) Bars(dataCentre string) Restriction {
+// DataCentreRestriction returns why no server of a data centre may get a request.
+func (t *Terms) DataCentreRestriction(dataCentre string) Restriction {
 	switch {
 	case t.Evacuated[dataCentre]:
 		return RestrictedEvacuated
