--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -137,7 +137,7 @@
 	// Slots are the requests that those take at once that may be used.
 	Slots int
 	// Terms are under which they may be used.
-	Terms catalog.Terms
+	Terms catalog.Constraints
 	// ColdPerSecond is what one of them bears while it is cold, of all daemons together.
 	ColdPerSecond float64
 	// Lookup returns a start of a server that is in use, or nil; nil where that is not known.
--- a/internal/front/catalog/fleet.go
+++ b/internal/front/catalog/fleet.go
@@ -37,7 +37,7 @@
 }
 
 // Slots returns how many requests the servers take at once that may be used, and in how many data centres they stand.
-func (f ServerPool) Slots(terms *Terms) (slots, dataCentres int) {
+func (f ServerPool) Slots(terms *Constraints) (slots, dataCentres int) {
 	for dataCentre, n := range f.slots {
 		if terms.DataCentreRestriction(dataCentre) == Unrestricted {
 			slots += n
--- a/internal/front/catalog/fleet_test.go
+++ b/internal/front/catalog/fleet_test.go
@@ -67,7 +67,7 @@
 	for _, service := range []string{"service-0", "service-1"} {
 		fleet := view.Pool(service)
 		assert.Equal(t, len(fleet.Servers), names[service])
-		total, _ := fleet.Slots(&catalog.Terms{})
+		total, _ := fleet.Slots(&catalog.Constraints{})
 		assert.Equal(t, total, slots[service])
 		local := true
 		for _, server := range fleet.Servers {
--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -23,8 +23,8 @@
 	RestrictedCold Restriction = "cold"
 )
 
-// Terms are what servers may be used under for one request at one time. The zero value bars those alone that drain.
-type Terms struct {
+// Constraints are what servers may be used under for one request at one time. The zero value bars those alone that drain.
+type Constraints struct {
 	// Evacuated are the data centres that are to get nothing further.
 	Evacuated map[string]bool
 	// AllowedRegions are the regions to which the request may go, nil for all; Regions has those of data centres.
@@ -36,7 +36,7 @@
 }
 
 // Restriction returns why a server may get no request.
-func (t *Terms) Restriction(server *Server) Restriction {
+func (t *Constraints) Restriction(server *Server) Restriction {
 	switch {
 	case server.Draining:
 		return RestrictedDraining
@@ -50,7 +50,7 @@
 }
 
 // DataCentreRestriction returns why no server of a data centre may get a request.
-func (t *Terms) DataCentreRestriction(dataCentre string) Restriction {
+func (t *Constraints) DataCentreRestriction(dataCentre string) Restriction {
 	switch {
 	case t.Evacuated[dataCentre]:
 		return RestrictedEvacuated
@@ -94,8 +94,8 @@
 }
 
 // Terms returns the terms of a request that may go to some homes.
-func (s *ServerSnapshot) Terms(now time.Time, homes AllowedRegions, coldBounded bool) Terms {
-	t := Terms{Evacuated: s.evacuated, AllowedRegions: homes, Regions: s.regions, Now: now}
+func (s *ServerSnapshot) Terms(now time.Time, homes AllowedRegions, coldBounded bool) Constraints {
+	t := Constraints{Evacuated: s.evacuated, AllowedRegions: homes, Regions: s.regions, Now: now}
 	if coldBounded {
 		t.ColdUntil = s.coldUntil
 	}
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -20,22 +20,22 @@
 	cold := map[incarnation.ID]time.Time{id("s"): now.Add(time.Second)}
 	for name, row := range map[string]struct {
 		server catalog.Server
-		terms  catalog.Terms
+		terms  catalog.Constraints
 		want   catalog.Restriction
 	}{
-		"nothing bars":               {at("a1"), catalog.Terms{Regions: regions}, catalog.Unrestricted},
-		"draining":                   {draining, catalog.Terms{}, catalog.RestrictedDraining},
-		"evacuated":                  {at("b1"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.RestrictedEvacuated},
-		"another one is evacuated":   {at("b2"), catalog.Terms{Evacuated: map[string]bool{"b1": true}}, catalog.Unrestricted},
-		"at home":                    {at("b2"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.Unrestricted},
-		"away from home":             {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.RestrictedRegion},
-		"no region known":            {at("c1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.RestrictedRegion},
-		"homes that never meet":      {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"a"}).Intersect(catalog.NewAllowedRegions([]string{"b"}))}, catalog.RestrictedRegion},
-		"one of two homes binds":     {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(catalog.NewAllowedRegions([]string{"b"}))}, catalog.RestrictedRegion},
-		"no homes":                   {at("a1"), catalog.Terms{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(nil)}, catalog.Unrestricted},
-		"cold":                       {at("a1"), catalog.Terms{ColdUntil: cold, Now: now}, catalog.RestrictedCold},
-		"no longer cold":             {at("a1"), catalog.Terms{ColdUntil: cold, Now: now.Add(time.Second)}, catalog.Unrestricted},
-		"evacuated goes before cold": {at("a1"), catalog.Terms{Evacuated: map[string]bool{"a1": true}, ColdUntil: cold, Now: now}, catalog.RestrictedEvacuated},
+		"nothing bars":               {at("a1"), catalog.Constraints{Regions: regions}, catalog.Unrestricted},
+		"draining":                   {draining, catalog.Constraints{}, catalog.RestrictedDraining},
+		"evacuated":                  {at("b1"), catalog.Constraints{Evacuated: map[string]bool{"b1": true}}, catalog.RestrictedEvacuated},
+		"another one is evacuated":   {at("b2"), catalog.Constraints{Evacuated: map[string]bool{"b1": true}}, catalog.Unrestricted},
+		"at home":                    {at("b2"), catalog.Constraints{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.Unrestricted},
+		"away from home":             {at("a1"), catalog.Constraints{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.RestrictedRegion},
+		"no region known":            {at("c1"), catalog.Constraints{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"b"})}, catalog.RestrictedRegion},
+		"homes that never meet":      {at("a1"), catalog.Constraints{Regions: regions, AllowedRegions: catalog.NewAllowedRegions([]string{"a"}).Intersect(catalog.NewAllowedRegions([]string{"b"}))}, catalog.RestrictedRegion},
+		"one of two homes binds":     {at("a1"), catalog.Constraints{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(catalog.NewAllowedRegions([]string{"b"}))}, catalog.RestrictedRegion},
+		"no homes":                   {at("a1"), catalog.Constraints{Regions: regions, AllowedRegions: catalog.NewAllowedRegions(nil).Intersect(nil)}, catalog.Unrestricted},
+		"cold":                       {at("a1"), catalog.Constraints{ColdUntil: cold, Now: now}, catalog.RestrictedCold},
+		"no longer cold":             {at("a1"), catalog.Constraints{ColdUntil: cold, Now: now.Add(time.Second)}, catalog.Unrestricted},
+		"evacuated goes before cold": {at("a1"), catalog.Constraints{Evacuated: map[string]bool{"a1": true}, ColdUntil: cold, Now: now}, catalog.RestrictedEvacuated},
 	} {
 		assert.Equal(t, row.terms.Restriction(&row.server), row.want, name)
 	}
