--- a/internal/front/catalog/terms.go
+++ b/internal/front/catalog/terms.go
@@ -93,8 +93,8 @@
 	return both
 }
 
-// Terms returns the terms of a request that may go to some homes.
-func (s *ServerSnapshot) Terms(now time.Time, homes AllowedRegions, coldBounded bool) Constraints {
+// Constraints returns the terms of a request that may go to some homes.
+func (s *ServerSnapshot) Constraints(now time.Time, homes AllowedRegions, coldBounded bool) Constraints {
 	t := Constraints{Evacuated: s.evacuated, AllowedRegions: homes, Regions: s.regions, Now: now}
 	if coldBounded {
 		t.ColdUntil = s.coldUntil
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -54,13 +54,13 @@
 	}
 	h := catalog.NewServersHandler(o)
 	bar := func(after time.Duration) catalog.Restriction {
-		terms := c.Servers().Terms(time.Now().Add(after), nil, true)
+		terms := c.Servers().Constraints(time.Now().Add(after), nil, true)
 		return terms.Restriction(c.Servers().Server(id("s")))
 	}
 	h.Reset([]objectapi.Object{{Key: "s/s", Version: 1, Value: []byte("cold")}}, 1)
 	assert.Equal(t, bar(0), catalog.RestrictedCold)
 	assert.Equal(t, bar(3*time.Second), catalog.Unrestricted)
-	unbounded := c.Servers().Terms(time.Now(), nil, false)
+	unbounded := c.Servers().Constraints(time.Now(), nil, false)
 	assert.Equal(t, unbounded.Restriction(c.Servers().Server(id("s"))), catalog.Unrestricted, "where its service says no bound")
 	h.Change(objectapi.Event{Object: objectapi.Object{Key: "s/s", Version: 2, Value: []byte("warm")}})
 	h.Confirm(2, time.Now())
@@ -78,7 +78,7 @@
 	h.SetEvacuated("hall-2", true)
 	h.SetEvacuated("hall-2", false)
 	bars := func(after time.Duration) (returned, other catalog.Restriction) {
-		terms := c.Servers().Terms(time.Now().Add(after), nil, true)
+		terms := c.Servers().Constraints(time.Now().Add(after), nil, true)
 		return terms.Restriction(c.Servers().Server(id("i-00000002"))), terms.Restriction(c.Servers().Server(id("i-00000003")))
 	}
 	returned, other := bars(0)
@@ -98,7 +98,7 @@
 	}
 	h.Reset(objects, 1)
 	slots := func() int {
-		terms := c.Servers().Terms(time.Now(), nil, true)
+		terms := c.Servers().Constraints(time.Now(), nil, true)
 		n, _ := c.Servers().Pool("service-0").Slots(&terms)
 		return n
 	}
--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -146,7 +146,7 @@
 	if service := x.table.Service(x.service); service != nil {
 		ask.ColdPerSecond = service.ColdPerSecond
 	}
-	ask.Servers, ask.Terms = fleet.Servers, servers.Terms(time.Now(), x.homes(), ask.ColdPerSecond > 0)
+	ask.Servers, ask.Terms = fleet.Servers, servers.Constraints(time.Now(), x.homes(), ask.ColdPerSecond > 0)
 	ask.Slots, ask.DataCentres = fleet.Slots(&ask.Terms)
 }
 
