--- a/internal/front/catalog/catalog.go
+++ b/internal/front/catalog/catalog.go
@@ -57,9 +57,9 @@
 	Priority    int
 	Targets     []Target
 	MaxAttempts int
-	// Kept routes carry turns whose history rookpass keeps for Retention after their end.
-	Kept      bool
-	Retention time.Duration
+	// RetainTurns routes carry turns whose history rookpass keeps for Retention after their end.
+	RetainTurns bool
+	Retention   time.Duration
 	// Resumable streams may be sent again, and go on at another server behind the last event that came.
 	Resumable bool
 	// MaxGap is the longest pause between two events of an answer that is in time; 0 means no bound.
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -170,7 +170,7 @@
 	}
 	x.service = x.route.Pick(random())
 	var refused *refusal
-	if x.route.Kept || x.route.Kind == catalog.Stream {
+	if x.route.RetainTurns || x.route.Kind == catalog.Stream {
 		refused = x.serveStream()
 	} else {
 		refused = x.servePlain()
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -98,7 +98,7 @@
 
 // beginsProgram tells whether a program begins with the request, as far as the request says.
 func (x *exchange) beginsProgram() bool {
-	return x.info.Program != "" && x.route.Kept && x.info.PreviousTurn == ""
+	return x.info.Program != "" && x.route.RetainTurns && x.info.PreviousTurn == ""
 }
 
 // returnGrant gives the organisation's right back where no server can have run the request.
--- a/internal/front/gateway/rig_test.go
+++ b/internal/front/gateway/rig_test.go
@@ -211,7 +211,7 @@
 		Limits: catalog.Limits{MaxBodyBytes: 1000},
 		Routes: []catalog.Route{route("/twice/", catalog.Idempotent, 3), route("/once/", catalog.AtMostOnce, 3), route("/turn/", catalog.Stream, 2),
 			route("/stream/", catalog.Stream, 2), route("/resume/", catalog.Stream, 2)}}
-	config.Routes[2].Kept, config.Routes[2].Retention = true, time.Minute
+	config.Routes[2].RetainTurns, config.Routes[2].Retention = true, time.Minute
 	config.Routes[4].Resumable = true
 	r.config = config
 	r.configs = catalog.NewConfigHandler(r.catalog, "c/", func(objectapi.Object) (catalog.Config, bool, error) { return r.config, true, nil }, log)
--- a/internal/front/gateway/steps.go
+++ b/internal/front/gateway/steps.go
@@ -54,7 +54,7 @@
 	if x.route == nil {
 		return &refusal{status: http.StatusNotFound, reason: "no-route"}
 	}
-	if (x.route.Kept || x.info.HasBudget) && x.info.ID == "" {
+	if (x.route.RetainTurns || x.info.HasBudget) && x.info.ID == "" {
 		return &refusal{status: http.StatusBadRequest, reason: "no-id", err: Error.New("a turn is recorded under its request's id")}
 	}
 	return nil
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -20,7 +20,7 @@
 // serveStream answers a request by the events of a server as they come: a turn of a program, kept or not, or a
 // stream outside any program.
 func (x *exchange) serveStream() *refusal {
-	if x.route.Kept && x.info.LastEvent != "" {
+	if x.route.RetainTurns && x.info.LastEvent != "" {
 		return &refusal{status: http.StatusBadRequest, reason: "kept-turn-resumed",
 			err: Error.New("a kept turn needs its whole answer, so its caller can't go on in the middle")}
 	}
@@ -253,7 +253,7 @@
 		return
 	}
 	s.events.count++
-	if s.x.route.Kept {
+	if s.x.route.RetainTurns {
 		s.events.output = append(s.events.output, e.data...)
 		s.events.output = append(s.events.output, '\n')
 	}
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -51,7 +51,7 @@
 // prepare reserves the turn's tokens where a budget bounds them, and reads its history where the route keeps
 // it, both at once. A stream with neither asks no disk.
 func (x *exchange) prepare() (prepared, *refusal) {
-	if !x.info.HasBudget && !x.route.Kept {
+	if !x.info.HasBudget && !x.route.RetainTurns {
 		return prepared{}, nil
 	}
 	limit := maxLedgerWait
@@ -65,7 +65,7 @@
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
-		if x.route.Kept {
+		if x.route.RetainTurns {
 			chain, chainErr = x.g.ledger.Chain(ctx, x.program(), x.key(x.info.PreviousTurn))
 		}
 	}()
@@ -130,7 +130,7 @@
 func (x *exchange) end(p prepared, server catalog.Server, events relayed) *refusal {
 	tokens := x.tokens(server, events)
 	state := turn.Settled
-	if x.route.Kept {
+	if x.route.RetainTurns {
 		state = turn.Finished
 	}
 	record := x.record(state, tokens)
@@ -140,7 +140,7 @@
 		record.Part, record.Held = last.ID, last.Tokens+tokens
 		x.g.balancer.RecordCached(turn.Place{Server: server.ID, Part: record.Part, Held: record.Held})
 	}
-	if !x.route.Kept {
+	if !x.route.RetainTurns {
 		if p.reservation != nil {
 			x.g.ledger.Settle(record)
 		}
--- a/internal/testing/workload/config.go
+++ b/internal/testing/workload/config.go
@@ -40,7 +40,7 @@
 	c.Services = []catalog.Service{{Name: modelService, MaxConns: 200, TokensPerEvent: tokensPerEvent}, {Name: toolService, MaxConns: 200}}
 	c.Routes = []catalog.Route{route("turn", catalog.Stream, modelService), route("tool", catalog.AtMostOnce, toolService), route("lookup", catalog.Idempotent, toolService),
 		route("question", catalog.Stream, modelService)}
-	c.Routes[0].Kept, c.Routes[0].Retention = true, time.Minute
+	c.Routes[0].RetainTurns, c.Routes[0].Retention = true, time.Minute
 	c.Routes[3].Resumable = true
 	for v := int64(1); v <= version; v++ {
 		c.Routes = append(c.Routes, route(fmt.Sprint("new", v), catalog.Idempotent, toolService))
