--- a/internal/front/catalog/catalog.go
+++ b/internal/front/catalog/catalog.go
@@ -98,8 +98,8 @@
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// Keyed tells that requests on routes that are not public need the key of an organisation.
-	Keyed         bool
+	// RequireKeys tells that requests on routes that are not public need the key of an organisation.
+	RequireKeys   bool
 	Organisations []Organisation
 	// Refused tells what is wrong with each organisation that was left out because it can't be read.
 	Refused []string
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -242,7 +242,7 @@
 	if x.organisation != nil {
 		x.g.stats.organisation(x.table.Label(x.organisation.Name), reason)
 	}
-	if x.table != nil && x.table.Config.Keyed {
+	if x.table != nil && x.table.Config.RequireKeys {
 		fields["organisation"], fields["config_age_ms"] = x.organisationName(), x.tableAge.Milliseconds()
 	}
 	if status != 0 {
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -27,7 +27,7 @@
 
 // withOrganisation finds the organisation that the caller's key proves, before anything is spent on the request.
 func withOrganisation(x *exchange) *refusal {
-	if !x.table.Config.Keyed || x.route.Public {
+	if !x.table.Config.RequireKeys || x.route.Public {
 		return nil
 	}
 	if x.info.HasKey {
--- a/internal/front/gateway/organisation_test.go
+++ b/internal/front/gateway/organisation_test.go
@@ -45,7 +45,7 @@
 // keyed puts a configuration in force whose callers need keys, as of an age.
 func (r *rig) keyed(age time.Duration, organisations ...catalog.Organisation) {
 	r.config.Version++
-	r.config.Keyed, r.config.Organisations = true, organisations
+	r.config.RequireKeys, r.config.Organisations = true, organisations
 	r.configs.Change(objectapi.Event{Object: objectapi.Object{Key: "c/main"}})
 	r.configs.Certain(time.Now().Add(-age))
 }
@@ -120,7 +120,7 @@
 	}
 	r := newRig(t, who)
 	r.config.Version++
-	r.config.Keyed, r.config.Organisations = true, []catalog.Organisation{organisation("north", "key-of-north")}
+	r.config.RequireKeys, r.config.Organisations = true, []catalog.Organisation{organisation("north", "key-of-north")}
 	r.configs.Reset([]objectapi.Object{{Key: "c/main"}}, 2) // an old copy: nobody has said that it is the newest
 	assert.Equal(t, r.send("/twice/", "x", "Api-Key", "key-of-north").status, http.StatusServiceUnavailable)
 }
--- a/internal/testing/workload/config.go
+++ b/internal/testing/workload/config.go
@@ -36,7 +36,7 @@
 			Targets: []catalog.Target{{Service: service, Weight: 1}}}
 	}
 	c := catalog.Config{Version: version, Limits: catalog.Limits{MaxBodyBytes: 1 << 20, IdleTimeout: 15 * time.Second}}
-	c.Keyed = true
+	c.RequireKeys = true
 	c.Services = []catalog.Service{{Name: modelService, MaxConns: 200, TokensPerEvent: tokensPerEvent}, {Name: toolService, MaxConns: 200}}
 	c.Routes = []catalog.Route{route("turn", catalog.Stream, modelService), route("tool", catalog.AtMostOnce, toolService), route("lookup", catalog.Idempotent, toolService),
 		route("question", catalog.Stream, modelService)}
