--- a/internal/front/catalog/catalog.go
+++ b/internal/front/catalog/catalog.go
@@ -101,8 +101,8 @@
 	// RequireKeys tells that requests on routes that are not public need the key of an organisation.
 	RequireKeys   bool
 	Organisations []Organisation
-	// Refused tells what is wrong with each organisation that was left out because it can't be read.
-	Refused []string
+	// RejectedOrganisations tells what is wrong with each organisation that was left out because it can't be read.
+	RejectedOrganisations []string
 }
 
 // Server is one start of a backend server.
--- a/internal/front/catalog/view.go
+++ b/internal/front/catalog/view.go
@@ -113,7 +113,7 @@
 	h.catalog.table.Store(NewTable(config))
 	h.log.WithFields(logrus.Fields{"event": "config", "version": config.Version, "revision": object.Version,
 		"routes": len(config.Routes), "services": len(config.Services), "keyed": config.RequireKeys, "organisations": len(config.Organisations)}).Info("configuration in force")
-	for _, problem := range config.Refused {
+	for _, problem := range config.RejectedOrganisations {
 		h.log.WithFields(logrus.Fields{"event": "organisation-refused", "version": config.Version, "error": problem}).Error("organisation can't be read; its callers are refused")
 	}
 }
