--- a/internal/front/catalog/catalog.go
+++ b/internal/front/catalog/catalog.go
@@ -114,8 +114,8 @@
 	DataCentre string
 	Slots      int
 	Draining   bool
-	// ColdLeft is how long the server stays cold, as its entry says. Views have the time in its place.
-	ColdLeft time.Duration `json:"-"`
+	// ColdRemaining is how long the server stays cold, as its entry says. Views have the time in its place.
+	ColdRemaining time.Duration `json:"-"`
 }
 
 // Repeatable tells whether a request of the route may run more than once.
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -187,8 +187,8 @@
 	delete(h.missing, name)
 	h.changed[name] = true
 	server, err := h.Decode(object)
-	h.noteCold(name, server.ColdLeft)
-	server.ColdLeft = 0
+	h.noteCold(name, server.ColdRemaining)
+	server.ColdRemaining = 0
 	if err == nil && known && before.server == server {
 		before.revision = object.Version
 		h.entries[name] = before
--- a/internal/front/catalog/terms_test.go
+++ b/internal/front/catalog/terms_test.go
@@ -48,7 +48,7 @@
 	o.Decode = func(object objectapi.Object) (catalog.Server, error) {
 		server := catalog.Server{ID: id(object.Key[2:]), Service: "svc", DataCentre: "a"}
 		if string(object.Value) == "cold" {
-			server.ColdLeft = 3 * time.Second
+			server.ColdRemaining = 3 * time.Second
 		}
 		return server, nil
 	}
