--- a/internal/front/catalog/entries_test.go
+++ b/internal/front/catalog/entries_test.go
@@ -22,7 +22,7 @@
 type list struct {
 	*catalog.ServersHandler
 	catalog *catalog.Catalog
-	refused map[catalog.Refusal]int
+	refused map[catalog.RefusalReason]int
 	started []incarnation.ID
 	// logged counts log lines by event.
 	logged map[string]int
@@ -38,16 +38,16 @@
 }
 
 func newList() *list {
-	l := &list{catalog: catalog.New(), refused: map[catalog.Refusal]int{}, logged: map[string]int{}}
+	l := &list{catalog: catalog.New(), refused: map[catalog.RefusalReason]int{}, logged: map[string]int{}}
 	o := options(l.catalog)
 	o.Decode = func(object objectapi.Object) (catalog.Server, error) {
 		server := catalog.Server{ID: id(object.Key[2:]), Service: "svc"}
 		if _, err := fmt.Sscanf(string(object.Value), "good %d", &server.ID.Born); err != nil {
-			return catalog.Server{}, &catalog.EntryError{Reason: catalog.Refusal(object.Value), Field: "field"}
+			return catalog.Server{}, &catalog.EntryError{Reason: catalog.RefusalReason(object.Value), Field: "field"}
 		}
 		return server, nil
 	}
-	o.Refused = func(reason catalog.Refusal) { l.refused[reason]++ }
+	o.Refused = func(reason catalog.RefusalReason) { l.refused[reason]++ }
 	o.Started = func(id incarnation.ID) { l.started = append(l.started, id) }
 	log := logrus.New()
 	log.SetOutput(new(strings.Builder))
@@ -132,7 +132,7 @@
 		l.change(revision+2, at("a", string(catalog.RefusedState), revision+2))
 	}
 	assert.Equal(t, l.logged["server-refused"], 1)
-	assert.DeepEqual(t, l.refused, map[catalog.Refusal]int{catalog.RefusedState: 50})
+	assert.DeepEqual(t, l.refused, map[catalog.RefusalReason]int{catalog.RefusedState: 50})
 	l.change(90, at("a", string(catalog.RefusedMissing), 90))
 	assert.Equal(t, l.logged["server-refused"], 2, "another reason is news")
 }
@@ -175,5 +175,5 @@
 		l.change(7, o)
 		assert.DeepEqual(t, l.inUse(), []string{"b@3"})
 	}
-	assert.DeepEqual(t, slices.Sorted(maps.Keys(l.refused)), []catalog.Refusal{catalog.RefusedState})
+	assert.DeepEqual(t, slices.Sorted(maps.Keys(l.refused)), []catalog.RefusalReason{catalog.RefusedState})
 }
--- a/internal/front/catalog/entry.go
+++ b/internal/front/catalog/entry.go
@@ -7,25 +7,25 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// Refusal is why an entry of the list of servers names no server to use. Entries may come from writers that are no
+// RefusalReason is why an entry of the list of servers names no server to use. Entries may come from writers that are no
 // servers; such a one takes its server out of use and harms no other.
-type Refusal string
+type RefusalReason string
 
 // The reasons.
 const (
 	// RefusedUnreadable entries are not the encoding of a set of fields.
-	RefusedUnreadable Refusal = "unreadable"
+	RefusedUnreadable RefusalReason = "unreadable"
 	// RefusedMissing entries lack a field that servers always write.
-	RefusedMissing Refusal = "field-missing"
+	RefusedMissing RefusalReason = "field-missing"
 	// RefusedMistyped entries have a field of another type, or beyond what the field may hold.
-	RefusedMistyped Refusal = "field-mistyped"
+	RefusedMistyped RefusalReason = "field-mistyped"
 	// RefusedState entries name a state that is not known.
-	RefusedState Refusal = "unknown-state"
+	RefusedState RefusalReason = "unknown-state"
 )
 
 // EntryError tells why an entry names no server to use.
 type EntryError struct {
-	Reason Refusal
+	Reason RefusalReason
 	// Field is the field that is wrong; empty for RefusedUnreadable.
 	Field string
 	// Err is the cause, or nil where the reason says all.
@@ -51,7 +51,7 @@
 type DecodeServer func(objectapi.Object) (Server, error)
 
 // refusalOf returns the reason that an error of DecodeServer names.
-func refusalOf(err error) Refusal {
+func refusalOf(err error) RefusalReason {
 	var refused *EntryError
 	if errors.As(err, &refused) {
 		return refused.Reason
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -27,7 +27,7 @@
 	Log    logrus.FieldLogger
 	// Refused is told of each entry that names no server to use, Started of each start of a server that is new here.
 	// Both are called with the handler locked; nil where nobody asks.
-	Refused func(Refusal)
+	Refused func(RefusalReason)
 	Started func(incarnation.ID)
 }
 
@@ -50,7 +50,7 @@
 	missing map[string]*Server
 	// refused has why entries name no server; cold until when servers are whose entries say so; evacuated the data centres
 	// that are to get nothing.
-	refused   map[string]Refusal
+	refused   map[string]RefusalReason
 	cold      map[string]time.Time
 	evacuated map[string]bool
 	// returning has until when servers of a data centre count as cold whose evacuation was taken back: they may have gone cold
@@ -63,7 +63,7 @@
 // NewServersHandler returns a handler that knows no server yet.
 func NewServersHandler(o ServersOptions) *ServersHandler {
 	return &ServersHandler{ServersOptions: o, entries: map[string]*entry{}, held: map[string]*Server{}, changed: map[string]bool{},
-		missing: map[string]*Server{}, refused: map[string]Refusal{}, cold: map[string]time.Time{}, evacuated: map[string]bool{},
+		missing: map[string]*Server{}, refused: map[string]RefusalReason{}, cold: map[string]time.Time{}, evacuated: map[string]bool{},
 		returning: map[string]time.Time{}}
 }
 
