--- a/internal/front/catalog/entries_test.go
+++ b/internal/front/catalog/entries_test.go
@@ -133,7 +133,7 @@
 	}
 	assert.Equal(t, l.logged["server-refused"], 1)
 	assert.DeepEqual(t, l.refused, map[catalog.RefusalReason]int{catalog.RefusedState: 50})
-	l.change(90, at("a", string(catalog.RefusedMissing), 90))
+	l.change(90, at("a", string(catalog.RefusedFieldMissing), 90))
 	assert.Equal(t, l.logged["server-refused"], 2, "another reason is news")
 }
 
--- a/internal/front/catalog/entry.go
+++ b/internal/front/catalog/entry.go
@@ -15,8 +15,8 @@
 const (
 	// RefusedUnreadable entries are not the encoding of a set of fields.
 	RefusedUnreadable RefusalReason = "unreadable"
-	// RefusedMissing entries lack a field that servers always write.
-	RefusedMissing RefusalReason = "field-missing"
+	// RefusedFieldMissing entries lack a field that servers always write.
+	RefusedFieldMissing RefusalReason = "field-missing"
 	// RefusedMistyped entries have a field of another type, or beyond what the field may hold.
 	RefusedMistyped RefusalReason = "field-mistyped"
 	// RefusedState entries name a state that is not known.
