--- a/internal/front/catalog/entries_test.go
+++ b/internal/front/catalog/entries_test.go
@@ -79,7 +79,7 @@
 
 // TestRefusedEntryTakesItsServerOutOfUse: at once, however it comes, and until a good one comes; the others hold.
 func TestRefusedEntryTakesItsServerOutOfUse(t *testing.T) {
-	odd := string(catalog.RefusedMistyped)
+	odd := string(catalog.RefusedFieldMistyped)
 	for how, write := range map[string]func(*list){
 		"as a change": func(l *list) { l.change(5, at("a", odd, 5)) },
 		"in a list": func(l *list) {
--- a/internal/front/catalog/entry.go
+++ b/internal/front/catalog/entry.go
@@ -17,8 +17,8 @@
 	RefusedUnreadable RefusalReason = "unreadable"
 	// RefusedFieldMissing entries lack a field that servers always write.
 	RefusedFieldMissing RefusalReason = "field-missing"
-	// RefusedMistyped entries have a field of another type, or beyond what the field may hold.
-	RefusedMistyped RefusalReason = "field-mistyped"
+	// RefusedFieldMistyped entries have a field of another type, or beyond what the field may hold.
+	RefusedFieldMistyped RefusalReason = "field-mistyped"
 	// RefusedState entries name a state that is not known.
 	RefusedState RefusalReason = "unknown-state"
 )
