--- a/internal/front/catalog/entries_test.go
+++ b/internal/front/catalog/entries_test.go
@@ -129,10 +129,10 @@
 	l := newList()
 	l.Reset([]objectapi.Object{at("a", "good 1", 1)}, 1)
 	for revision := range uint64(50) {
-		l.change(revision+2, at("a", string(catalog.RefusedState), revision+2))
+		l.change(revision+2, at("a", string(catalog.RefusedUnknownState), revision+2))
 	}
 	assert.Equal(t, l.logged["server-refused"], 1)
-	assert.DeepEqual(t, l.refused, map[catalog.RefusalReason]int{catalog.RefusedState: 50})
+	assert.DeepEqual(t, l.refused, map[catalog.RefusalReason]int{catalog.RefusedUnknownState: 50})
 	l.change(90, at("a", string(catalog.RefusedFieldMissing), 90))
 	assert.Equal(t, l.logged["server-refused"], 2, "another reason is news")
 }
@@ -170,10 +170,10 @@
 // TestChangesToldTwiceEndWhereTheyWere: a watch that begins before its list tells of entries that were replaced since.
 func TestChangesToldTwiceEndWhereTheyWere(t *testing.T) {
 	l := newList()
-	l.Reset([]objectapi.Object{at("a", string(catalog.RefusedState), 7), at("b", "good 3", 6)}, 7)
-	for _, o := range []objectapi.Object{at("a", "good 1", 3), at("b", "good 2", 4), at("b", "good 3", 6), at("a", string(catalog.RefusedState), 7)} {
+	l.Reset([]objectapi.Object{at("a", string(catalog.RefusedUnknownState), 7), at("b", "good 3", 6)}, 7)
+	for _, o := range []objectapi.Object{at("a", "good 1", 3), at("b", "good 2", 4), at("b", "good 3", 6), at("a", string(catalog.RefusedUnknownState), 7)} {
 		l.change(7, o)
 		assert.DeepEqual(t, l.inUse(), []string{"b@3"})
 	}
-	assert.DeepEqual(t, slices.Sorted(maps.Keys(l.refused)), []catalog.RefusalReason{catalog.RefusedState})
+	assert.DeepEqual(t, slices.Sorted(maps.Keys(l.refused)), []catalog.RefusalReason{catalog.RefusedUnknownState})
 }
--- a/internal/front/catalog/entry.go
+++ b/internal/front/catalog/entry.go
@@ -19,8 +19,8 @@
 	RefusedFieldMissing RefusalReason = "field-missing"
 	// RefusedFieldMistyped entries have a field of another type, or beyond what the field may hold.
 	RefusedFieldMistyped RefusalReason = "field-mistyped"
-	// RefusedState entries name a state that is not known.
-	RefusedState RefusalReason = "unknown-state"
+	// RefusedUnknownState entries name a state that is not known.
+	RefusedUnknownState RefusalReason = "unknown-state"
 )
 
 // EntryError tells why an entry names no server to use.
