--- a/internal/front/catalog/entries_test.go
+++ b/internal/front/catalog/entries_test.go
@@ -47,7 +47,7 @@
 		}
 		return server, nil
 	}
-	o.Refused = func(reason catalog.RefusalReason) { l.refused[reason]++ }
+	o.OnRefused = func(reason catalog.RefusalReason) { l.refused[reason]++ }
 	o.Started = func(id incarnation.ID) { l.started = append(l.started, id) }
 	log := logrus.New()
 	log.SetOutput(new(strings.Builder))
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -25,10 +25,10 @@
 	Decode DecodeServer
 	Lapse  policy.LeaseExpiry
 	Log    logrus.FieldLogger
-	// Refused is told of each entry that names no server to use, Started of each start of a server that is new here.
+	// OnRefused is told of each entry that names no server to use, Started of each start of a server that is new here.
 	// Both are called with the handler locked; nil where nobody asks.
-	Refused func(RefusalReason)
-	Started func(incarnation.ID)
+	OnRefused func(RefusalReason)
+	Started   func(incarnation.ID)
 }
 
 // ServersHandler keeps the servers of a watch. An entry that is gone right after an outage of the store is kept until
@@ -286,8 +286,8 @@
 func (h *ServersHandler) refuse(name string, before, now *entry, err error) {
 	reason, last := refusalOf(err), h.refused[name]
 	h.refused[name] = reason
-	if h.Refused != nil {
-		h.Refused(reason)
+	if h.OnRefused != nil {
+		h.OnRefused(reason)
 	}
 	if before != nil && last == reason {
 		return
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -190,7 +190,7 @@
 	servers := catalog.NewServersHandler(catalog.ServersOptions{
 		Catalog: f.catalog, Place: f.settings.Place(), Prefix: platform.ServersPrefix,
 		Decode: platform.DecodeServer, Lapse: policy.NewLeaseExpiry(f.settings.Heartbeat), Log: f.log, Started: f.serverStarted,
-		Refused: func(reason catalog.RefusalReason) { f.metrics.Count("rookpass_entries_refused_total", string(reason)) },
+		OnRefused: func(reason catalog.RefusalReason) { f.metrics.Count("rookpass_entries_refused_total", string(reason)) },
 	})
 	handlers := map[watch.Handler]time.Duration{
 		catalog.NewConfigHandler(f.catalog, platform.ConfigPrefix, platform.DecodeConfig, f.log): f.configWait(frontWait, hopShare),
