--- a/internal/front/catalog/entries_test.go
+++ b/internal/front/catalog/entries_test.go
@@ -48,7 +48,7 @@
 		return server, nil
 	}
 	o.OnRefused = func(reason catalog.RefusalReason) { l.refused[reason]++ }
-	o.Started = func(id incarnation.ID) { l.started = append(l.started, id) }
+	o.OnStarted = func(id incarnation.ID) { l.started = append(l.started, id) }
 	log := logrus.New()
 	log.SetOutput(new(strings.Builder))
 	log.AddHook(l)
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -28,7 +28,7 @@
 	// OnRefused is told of each entry that names no server to use, Started of each start of a server that is new here.
 	// Both are called with the handler locked; nil where nobody asks.
 	OnRefused func(RefusalReason)
-	Started   func(incarnation.ID)
+	OnStarted func(incarnation.ID)
 }
 
 // ServersHandler keeps the servers of a watch. An entry that is gone right after an outage of the store is kept until
@@ -277,8 +277,8 @@
 		h.Log.WithFields(logrus.Fields{"event": "server", "server": server.ID, "service": server.Service, "address": server.Address,
 			"draining": server.Draining, "revision": now.revision}).Info("server's entry in force")
 	}
-	if h.Started != nil && before.start() != server.ID {
-		h.Started(server.ID)
+	if h.OnStarted != nil && before.start() != server.ID {
+		h.OnStarted(server.ID)
 	}
 }
 
