--- a/internal/front/catalog/catalog_test.go
+++ b/internal/front/catalog/catalog_test.go
@@ -83,7 +83,7 @@
 		}
 		h := catalog.NewConfigHandler(c, "c/", decode, quiet())
 		age := func() time.Duration {
-			_, age := c.Confirmed()
+			_, age := c.TableWithAge()
 			return age
 		}
 		assert.Assert(t, age() > 24*time.Hour, "nobody has said anything")
--- a/internal/front/catalog/view.go
+++ b/internal/front/catalog/view.go
@@ -28,9 +28,9 @@
 // Table returns the configuration in force, or nil before the first.
 func (c *Catalog) Table() *Table { return c.table.Load() }
 
-// Confirmed returns the configuration in force, or nil before the first, and how old it may be: every change made longer
+// TableWithAge returns the configuration in force, or nil before the first, and how old it may be: every change made longer
 // ago is in it. The age is neverConfirmed where nobody can say.
-func (c *Catalog) Confirmed() (*Table, time.Duration) {
+func (c *Catalog) TableWithAge() (*Table, time.Duration) {
 	certain := c.certain.Load() // before the table, which is at least as new
 	table := c.table.Load()
 	if certain == nil {
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -41,7 +41,7 @@
 	if x.organisation == nil {
 		return nil
 	}
-	table, age := x.g.catalog.Confirmed()
+	table, age := x.g.catalog.TableWithAge()
 	// A key that was passed on meanwhile proves the organisation that had it when the request came.
 	return refusalOfProof(x.g.proofs.KeyStatus(table.Owner(x.info.Key) != nil, age))
 }
--- a/internal/front/gateway/steps.go
+++ b/internal/front/gateway/steps.go
@@ -36,7 +36,7 @@
 
 // withConfig refuses requests before the first configuration is known.
 func withConfig(x *exchange) *refusal {
-	x.table, x.tableAge = x.g.catalog.Confirmed()
+	x.table, x.tableAge = x.g.catalog.TableWithAge()
 	if x.table == nil {
 		return &refusal{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: retryStarting}
 	}
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -116,7 +116,7 @@
 	b.metrics.Gauge("rookpass_turns_waiting", func() float64 { return float64(f.gate.Waiting()) })
 	b.metrics.Gauge("rookpass_turns_running", func() float64 { return float64(f.gate.Running()) })
 	b.metrics.Gauge("rookpass_config_certain_age_seconds", func() float64 {
-		_, age := f.catalog.Confirmed()
+		_, age := f.catalog.TableWithAge()
 		return age.Seconds()
 	})
 	b.metrics.Gauge("rookpass_servers", func() float64 { return float64(f.catalog.Servers().Len()) })
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -83,7 +83,7 @@
 func (f *front) status(*http.Request) any {
 	s := FrontStatus{Node: f.settings.Node, Ready: f.ready(), Stopping: f.stopping.Load(), ActiveRequests: f.gateway.Active(),
 		Layout: f.ledger.Layout(), Costs: f.balancer.Costs(), ServerRevision: f.catalog.Servers().Revision}
-	table, age := f.catalog.Confirmed()
+	table, age := f.catalog.TableWithAge()
 	s.ConfigAgeMS = -1
 	if age < math.MaxInt64 {
 		s.ConfigAgeMS = age.Milliseconds()
