--- a/internal/front/catalog/organisation.go
+++ b/internal/front/catalog/organisation.go
@@ -63,5 +63,5 @@
 // Label returns the name under which an organisation's requests are counted.
 func (t *Table) Label(organisation string) string { return cmp.Or(t.labels[organisation], Others) }
 
-// Owner returns the organisation that a key proves, or nil.
-func (t *Table) Owner(key secret.Hash) *Organisation { return t.owners[key] }
+// OrganisationByKey returns the organisation that a key proves, or nil.
+func (t *Table) OrganisationByKey(key secret.Hash) *Organisation { return t.owners[key] }
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	if x.info.HasKey {
-		x.organisation = x.table.Owner(x.info.Key)
+		x.organisation = x.table.OrganisationByKey(x.info.Key)
 	}
 	return refusalOfProof(x.g.proofs.KeyStatus(x.organisation != nil, x.tableAge))
 }
@@ -43,7 +43,7 @@
 	}
 	table, age := x.g.catalog.TableWithAge()
 	// A key that was passed on meanwhile proves the organisation that had it when the request came.
-	return refusalOfProof(x.g.proofs.KeyStatus(table.Owner(x.info.Key) != nil, age))
+	return refusalOfProof(x.g.proofs.KeyStatus(table.OrganisationByKey(x.info.Key) != nil, age))
 }
 
 // refusalOfProof returns what a caller is told whose key is not proved.
