--- a/internal/front/catalog/catalog_test.go
+++ b/internal/front/catalog/catalog_test.go
@@ -112,7 +112,7 @@
 	table := catalog.NewTable(config)
 	labels := map[string]bool{}
 	for _, o := range config.Organisations {
-		labels[table.Label(o.Name)] = true
+		labels[table.MetricLabel(o.Name)] = true
 	}
 	assert.Assert(t, len(labels) <= 21, "%d", len(labels))
 	assert.Assert(t, labels["o10999"] && labels[catalog.Others])
--- a/internal/front/catalog/organisation.go
+++ b/internal/front/catalog/organisation.go
@@ -60,8 +60,10 @@
 	return labels
 }
 
-// Label returns the name under which an organisation's requests are counted.
-func (t *Table) Label(organisation string) string { return cmp.Or(t.labels[organisation], Others) }
+// MetricLabel returns the name under which an organisation's requests are counted.
+func (t *Table) MetricLabel(organisation string) string {
+	return cmp.Or(t.labels[organisation], Others)
+}
 
 // OrganisationByKey returns the organisation that a key proves, or nil.
 func (t *Table) OrganisationByKey(key secret.Hash) *Organisation { return t.owners[key] }
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -240,7 +240,7 @@
 		fields["program"] = x.info.Program
 	}
 	if x.organisation != nil {
-		x.g.stats.organisation(x.table.Label(x.organisation.Name), reason)
+		x.g.stats.organisation(x.table.MetricLabel(x.organisation.Name), reason)
 	}
 	if x.table != nil && x.table.Config.RequireKeys {
 		fields["organisation"], fields["config_age_ms"] = x.organisationName(), x.tableAge.Milliseconds()
