--- a/internal/front/catalog/catalog_test.go
+++ b/internal/front/catalog/catalog_test.go
@@ -115,7 +115,7 @@
 		labels[table.MetricLabel(o.Name)] = true
 	}
 	assert.Assert(t, len(labels) <= 21, "%d", len(labels))
-	assert.Assert(t, labels["o10999"] && labels[catalog.Others])
+	assert.Assert(t, labels["o10999"] && labels[catalog.OthersLabel])
 }
 
 // entries is a handler of servers written as id=service@address.
--- a/internal/front/catalog/organisation.go
+++ b/internal/front/catalog/organisation.go
@@ -43,8 +43,8 @@
 // counted together.
 const namedOrganisations = 20
 
-// Others stands for the organisations that are not counted by name.
-const Others = "others"
+// OthersLabel stands for the organisations that are not counted by name.
+const OthersLabel = "others"
 
 // labels returns how each organisation is counted: those with the largest limits by name.
 func labels(organisations []Organisation) map[string]string {
@@ -62,7 +62,7 @@
 
 // MetricLabel returns the name under which an organisation's requests are counted.
 func (t *Table) MetricLabel(organisation string) string {
-	return cmp.Or(t.labels[organisation], Others)
+	return cmp.Or(t.labels[organisation], OthersLabel)
 }
 
 // OrganisationByKey returns the organisation that a key proves, or nil.
