--- a/internal/front/balance/subset_test.go
+++ b/internal/front/balance/subset_test.go
@@ -85,7 +85,7 @@
 		for place := tick % pause; place < len(f.daemons); place += pause {
 			f.swap(t, place)
 		}
-		if tick%int(exchange.Pause/thinStep) == 0 {
+		if tick%int(exchange.ReportInterval/thinStep) == 0 {
 			f.relay(t)
 		}
 		for due += perStep; due >= 1; due-- {
--- a/internal/front/exchange/exchange.go
+++ b/internal/front/exchange/exchange.go
@@ -16,8 +16,8 @@
 const ServiceName = "Exchange"
 
 const (
-	// Pause is the time between two calls of a daemon: what one has seen helps the others soon after.
-	Pause = 300 * time.Millisecond
+	// ReportInterval is the time between two calls of a daemon: what one has seen helps the others soon after.
+	ReportInterval = 300 * time.Millisecond
 	// memory is how long a daemon is remembered that no longer calls: several pauses of 400 daemons.
 	memory = 6 * time.Second
 	// staleAfter is how many pauses a daemon's demand and what fails it count after its report. What a dead daemon had comes to the
@@ -83,7 +83,7 @@
 
 // PauseFor returns the time until the next call of one of so many daemons at a hub.
 func PauseFor(daemons int) time.Duration {
-	return Pause * time.Duration(max(1, (daemons+crowd-1)/crowd))
+	return ReportInterval * time.Duration(max(1, (daemons+crowd-1)/crowd))
 }
 
 // Swap calls a service over a link.
--- a/internal/front/exchange/relay.go
+++ b/internal/front/exchange/relay.go
@@ -15,7 +15,7 @@
 
 const (
 	// relayPause is the time between two calls of a hub to another.
-	relayPause = Pause
+	relayPause = ReportInterval
 	// relayMemory is how long another hub's sums count: some calls may be lost.
 	relayMemory = 4 * relayPause
 )
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -109,7 +109,7 @@
 		work.Go(func() {
 			for ctx.Err() == nil {
 				h.ask(ctx, fmt.Sprint("dc", i%3), daemons, args)
-				time.Sleep(exchange.Pause)
+				time.Sleep(exchange.ReportInterval)
 			}
 		})
 	}
--- a/internal/front/exchange/sums_test.go
+++ b/internal/front/exchange/sums_test.go
@@ -41,7 +41,7 @@
 			want.Daemons++
 			want.Here++
 			addTo(want.Suspects, said.Suspects)
-			if age > 3*exchange.Pause {
+			if age > 3*exchange.ReportInterval {
 				continue
 			}
 			addTo(want.Failing, said.Failing)
