--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -82,7 +82,7 @@
 func (c *crowd) play(t *testing.T, perSecond int, length time.Duration, fails func(server int, at time.Duration) bool) (failed int) {
 	const step = 10 * time.Millisecond
 	c.demand = int(callTime.Seconds() * float64(perSecond*len(c.servers)))
-	pause := int(exchange.PauseFor(len(c.daemons)) / step)
+	pause := int(exchange.ReportIntervalFor(len(c.daemons)) / step)
 	for tick := range int(length / step) {
 		for place := tick % pause; place < len(c.daemons); place += pause {
 			assert.NilError(t, c.swap(place))
--- a/internal/front/balance/subset_test.go
+++ b/internal/front/balance/subset_test.go
@@ -78,7 +78,7 @@
 	if perHub > 150 {
 		perHub /= len(f.hubs)
 	}
-	pause := int(exchange.PauseFor(perHub) / thinStep)
+	pause := int(exchange.ReportIntervalFor(perHub) / thinStep)
 	perStep := 0.52 * float64(len(f.daemons)) * thinStep.Seconds()
 	due := 0.0
 	for tick := range int(length / thinStep) {
--- a/internal/front/exchange/exchange.go
+++ b/internal/front/exchange/exchange.go
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// PauseFor returns the time until the next call of one of so many daemons at a hub.
-func PauseFor(daemons int) time.Duration {
+// ReportIntervalFor returns the time until the next call of one of so many daemons at a hub.
+func ReportIntervalFor(daemons int) time.Duration {
 	return ReportInterval * time.Duration(max(1, (daemons+crowd-1)/crowd))
 }
 
--- a/internal/front/exchange/exchange_test.go
+++ b/internal/front/exchange/exchange_test.go
@@ -49,10 +49,10 @@
 	got := swap(t, s, "another")
 	assert.Equal(t, got.Daemons, 300)
 	assert.Assert(t, len(got.Peers) <= 16)
-	assert.Equal(t, exchange.PauseFor(0), exchange.ReportInterval)
-	assert.Equal(t, exchange.PauseFor(56), exchange.ReportInterval)
-	assert.Equal(t, exchange.PauseFor(259), 2*exchange.ReportInterval)
-	assert.Equal(t, exchange.PauseFor(400), 3*exchange.ReportInterval)
+	assert.Equal(t, exchange.ReportIntervalFor(0), exchange.ReportInterval)
+	assert.Equal(t, exchange.ReportIntervalFor(56), exchange.ReportInterval)
+	assert.Equal(t, exchange.ReportIntervalFor(259), 2*exchange.ReportInterval)
+	assert.Equal(t, exchange.ReportIntervalFor(400), 3*exchange.ReportInterval)
 }
 
 func TestDemandAndLoadsAreSummed(t *testing.T) {
--- a/internal/front/exchange/sums.go
+++ b/internal/front/exchange/sums.go
@@ -43,7 +43,7 @@
 
 // forget drops what is too old.
 func (s *sums) forget(now time.Time) {
-	fresh := staleAfter * PauseFor(len(s.reports))
+	fresh := staleAfter * ReportIntervalFor(len(s.reports))
 	for e := s.order.Front(); e != nil; {
 		r, next := e.Value.(*report), e.Next()
 		switch age := now.Sub(r.at); {
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -295,7 +295,7 @@
 func (f *front) exchange(ctx context.Context) error {
 	place, moved, here := 0, time.Now(), 0
 	var daemons policy.RecentMax
-	for wait.For(ctx, exchange.PauseFor(here)) == nil {
+	for wait.For(ctx, exchange.ReportIntervalFor(here)) == nil {
 		l := f.ledger.Layout()
 		if l == nil {
 			continue
