--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -305,7 +305,7 @@
 		}
 		args := &exchange.Args{From: f.settings.PeerAddress(), Daemons: daemons.Read(), Suspects: f.balancer.Suspects(), Failing: f.balancer.Failing(),
 			Demand: f.demand(), Loads: f.balancer.Loads()}
-		places := exchange.Places(l.Disks(), f.settings.Place(), daemons.Read())
+		places := exchange.HubCandidates(l.Disks(), f.settings.Place(), daemons.Read())
 		reply, err := exchange.Swap(ctx, f.links.To(places[place%len(places)]), args)
 		if err != nil {
 			place++
