--- a/internal/front/exchange/places.go
+++ b/internal/front/exchange/places.go
@@ -23,8 +23,8 @@
 	return append(near, others...)
 }
 
-// Neighbours returns where all hubs may be, by data centre where daemons are many and by region where they are few.
-func Neighbours(disks []layout.Disk, regions map[string]string, crowded bool) map[string][]string {
+// HubsByArea returns where all hubs may be, by data centre where daemons are many and by region where they are few.
+func HubsByArea(disks []layout.Disk, regions map[string]string, crowded bool) map[string][]string {
 	places := map[string][]string{}
 	for _, disk := range disks {
 		name := disk.DataCentre
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -53,10 +53,10 @@
 	for dataCentre, want := range map[string]string{"dc0": "hub-0:1", "dc1": "hub-1:1", "dc2": "hub-1:1"} {
 		assert.Equal(t, exchange.HubCandidates(disks, place.Map{DataCentre: dataCentre, Regions: regions}, 8)[0], want)
 	}
-	assert.DeepEqual(t, exchange.Neighbours(disks, regions, false), map[string][]string{
+	assert.DeepEqual(t, exchange.HubsByArea(disks, regions, false), map[string][]string{
 		"a": {"hub-0:1", "hub-3:1"}, "b": {"hub-1:1", "hub-2:1", "hub-4:1", "hub-5:1"}})
-	assert.Equal(t, len(exchange.Neighbours(disks, regions, true)), 3)
-	assert.Equal(t, len(exchange.Neighbours(disks, map[string]string{"dc0": "a", "dc1": "a", "dc2": "a"}, false)), 1)
+	assert.Equal(t, len(exchange.HubsByArea(disks, regions, true)), 3)
+	assert.Equal(t, len(exchange.HubsByArea(disks, map[string]string{"dc0": "a", "dc1": "a", "dc2": "a"}, false)), 1)
 }
 
 // hubs are store daemons on a network in memory, each with the service and a relayer.
@@ -83,7 +83,7 @@
 		assert.NilError(t, err)
 		go func() { _ = peerlink.Serve(listener, map[string]any{exchange.ServiceName: service}) }()
 		relayer := &exchange.Relayer{Service: service, Links: peerlink.NewSet(dialer(host)), Self: disk.Address, Log: quiet(),
-			Places: func(crowded bool) map[string][]string { return exchange.Neighbours(h.disks, nil, crowded) }}
+			Places: func(crowded bool) map[string][]string { return exchange.HubsByArea(h.disks, nil, crowded) }}
 		work.Go(func() { _ = relayer.Run(ctx) })
 	}
 	return h
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -159,7 +159,7 @@
 		if l == nil {
 			return nil
 		}
-		return exchange.Neighbours(l.Disks(), regions, crowded)
+		return exchange.HubsByArea(l.Disks(), regions, crowded)
 	}
 }
 
