--- a/internal/front/exchange/relay.go
+++ b/internal/front/exchange/relay.go
@@ -99,10 +99,10 @@
 	Links   *peerlink.Set
 	// Self is this daemon's address.
 	Self string
-	// Places returns where each hub may be, the likeliest first: one in each data centre where daemons are many, else one in
+	// HubsByArea returns where each hub may be, the likeliest first: one in each data centre where daemons are many, else one in
 	// each region.
-	Places func(crowded bool) map[string][]string
-	Log    logrus.FieldLogger
+	HubsByArea func(crowded bool) map[string][]string
+	Log        logrus.FieldLogger
 
 	mu sync.Mutex
 	// moves has the hubs whose likeliest place has not answered.
@@ -126,7 +126,7 @@
 		if sums == nil {
 			continue
 		}
-		hubs := r.Places(r.Service.crowded())
+		hubs := r.HubsByArea(r.Service.crowded())
 		if len(hubs) <= 1 {
 			continue // all daemons meet here
 		}
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -83,7 +83,7 @@
 		assert.NilError(t, err)
 		go func() { _ = peerlink.Serve(listener, map[string]any{exchange.ServiceName: service}) }()
 		relayer := &exchange.Relayer{Service: service, Links: peerlink.NewSet(dialer(host)), Self: disk.Address, Log: quiet(),
-			Places: func(crowded bool) map[string][]string { return exchange.HubsByArea(h.disks, nil, crowded) }}
+			HubsByArea: func(crowded bool) map[string][]string { return exchange.HubsByArea(h.disks, nil, crowded) }}
 		work.Go(func() { _ = relayer.Run(ctx) })
 	}
 	return h
