--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -100,8 +100,8 @@
 // Stop makes every answer from here on close its connection.
 func (g *Gateway) Stop() { g.stopping.Store(true) }
 
-// Active returns how many requests are being served.
-func (g *Gateway) Active() int64 { return g.active.Load() }
+// ActiveRequests returns how many requests are being served.
+func (g *Gateway) ActiveRequests() int64 { return g.active.Load() }
 
 // exchange is one request on its way.
 type exchange struct {
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -112,7 +112,7 @@
 	b.metrics.Gauge("rookpass_connections_opened_total", func() float64 { return float64(f.pool.Opened()) })
 	b.metrics.Gauge("rookpass_connections_reused_total", func() float64 { return float64(f.pool.Reused()) })
 	b.metrics.Gauge("rookpass_detours_total", func() float64 { return float64(b.links.Seconds()) })
-	b.metrics.Gauge("rookpass_requests_active", func() float64 { return float64(f.gateway.Active()) })
+	b.metrics.Gauge("rookpass_requests_active", func() float64 { return float64(f.gateway.ActiveRequests()) })
 	b.metrics.Gauge("rookpass_turns_waiting", func() float64 { return float64(f.gate.Waiting()) })
 	b.metrics.Gauge("rookpass_turns_running", func() float64 { return float64(f.gate.Running()) })
 	b.metrics.Gauge("rookpass_config_certain_age_seconds", func() float64 {
@@ -379,11 +379,11 @@
 	deadline := began.Add(f.settings.StopGrace - stopMargin)
 	f.stopping.Store(true)
 	f.gateway.Stop()
-	f.log.WithFields(logrus.Fields{"event": "drain", "active": f.gateway.Active()}).Info("stopping")
+	f.log.WithFields(logrus.Fields{"event": "drain", "active": f.gateway.ActiveRequests()}).Info("stopping")
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	_ = wait.For(ctx, unreadyTime)
 	_ = server.Shutdown(ctx) // what still runs at the deadline is cut by the end of the process
 	unwritten := f.ledger.Flush(ctx)
-	f.log.WithFields(logrus.Fields{"event": "drained", "active": f.gateway.Active(), "unwritten": unwritten != nil, "ms": time.Since(began).Milliseconds()}).Info("requests ended")
+	f.log.WithFields(logrus.Fields{"event": "drained", "active": f.gateway.ActiveRequests(), "unwritten": unwritten != nil, "ms": time.Since(began).Milliseconds()}).Info("requests ended")
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -81,7 +81,7 @@
 }
 
 func (f *front) status(*http.Request) any {
-	s := FrontStatus{Node: f.settings.Node, Ready: f.ready(), Stopping: f.stopping.Load(), ActiveRequests: f.gateway.Active(),
+	s := FrontStatus{Node: f.settings.Node, Ready: f.ready(), Stopping: f.stopping.Load(), ActiveRequests: f.gateway.ActiveRequests(),
 		Layout: f.ledger.Layout(), Costs: f.balancer.Costs(), ServerRevision: f.catalog.Servers().Revision}
 	table, age := f.catalog.TableWithAge()
 	s.ConfigAgeMS = -1
