--- a/internal/front/gateway/bounds_test.go
+++ b/internal/front/gateway/bounds_test.go
@@ -91,7 +91,7 @@
 func TestStoppingDaemonAsksCallersToLeave(t *testing.T) {
 	var r *rig
 	r = newRig(t, func(w http.ResponseWriter, req *http.Request) {
-		r.gateway.Stop()
+		r.gateway.Drain()
 		echo(w, req)
 	})
 	got := r.send("/once/x", "hello")
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -97,8 +97,8 @@
 	return g
 }
 
-// Stop makes every answer from here on close its connection.
-func (g *Gateway) Stop() { g.stopping.Store(true) }
+// Drain makes every answer from here on close its connection.
+func (g *Gateway) Drain() { g.stopping.Store(true) }
 
 // ActiveRequests returns how many requests are being served.
 func (g *Gateway) ActiveRequests() int64 { return g.active.Load() }
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -378,7 +378,7 @@
 	began := time.Now()
 	deadline := began.Add(f.settings.StopGrace - stopMargin)
 	f.stopping.Store(true)
-	f.gateway.Stop()
+	f.gateway.Drain()
 	f.log.WithFields(logrus.Fields{"event": "drain", "active": f.gateway.ActiveRequests()}).Info("stopping")
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
