--- a/internal/front/catalog/catalog_test.go
+++ b/internal/front/catalog/catalog_test.go
@@ -128,7 +128,7 @@
 		service, address, _ := strings.Cut(string(o.Value), "@")
 		return catalog.Server{ID: id(o.Key[2:]), Service: service, Address: address}, nil
 	}
-	return catalog.ServersOptions{Catalog: c, Prefix: "s/", Decode: decode, Lapse: policy.NewLeaseExpiry(1200 * time.Millisecond), Log: quiet()}
+	return catalog.ServersOptions{Catalog: c, Prefix: "s/", Decode: decode, LeaseExpiry: policy.NewLeaseExpiry(1200 * time.Millisecond), Log: quiet()}
 }
 
 // id names the only start of a server.
--- a/internal/front/catalog/memory_test.go
+++ b/internal/front/catalog/memory_test.go
@@ -52,7 +52,7 @@
 	for _, servers := range []int{1000, 10_000, 20_000} {
 		c := catalog.New()
 		h := catalog.NewServersHandler(catalog.ServersOptions{Catalog: c, Prefix: "s/", Decode: decodeWritten,
-			Lapse: policy.NewLeaseExpiry(1200 * time.Millisecond), Log: quiet()})
+			LeaseExpiry: policy.NewLeaseExpiry(1200 * time.Millisecond), Log: quiet()})
 		before := liveBytes()
 		objects := make([]objectapi.Object, servers)
 		for i := range objects {
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -21,10 +21,10 @@
 	// Place is where this daemon stands.
 	Place place.Map
 	// Prefix is the part of a key before a server's name.
-	Prefix string
-	Decode DecodeServer
-	Lapse  policy.LeaseExpiry
-	Log    logrus.FieldLogger
+	Prefix      string
+	Decode      DecodeServer
+	LeaseExpiry policy.LeaseExpiry
+	Log         logrus.FieldLogger
 	// OnRefused is told of each entry that names no server to use, Started of each start of a server that is new here.
 	// Both are called with the handler locked; nil where nobody asks.
 	OnRefused func(RefusalReason)
@@ -136,7 +136,7 @@
 // regain notes the end of an outage, and decides on the entries that are missing. It is called with the lock held.
 func (h *ServersHandler) regain(at time.Time) {
 	h.lost = false
-	if holding := h.Lapse.GraceUntil(h.confirmed, at); holding.After(h.holding) {
+	if holding := h.LeaseExpiry.GraceUntil(h.confirmed, at); holding.After(h.holding) {
 		// A short outage right behind a long one does not end what is held over the long one.
 		h.holding = holding
 	}
@@ -250,7 +250,7 @@
 		h.evacuated[dataCentre] = true
 	} else {
 		delete(h.evacuated, dataCentre)
-		h.returning[dataCentre] = time.Now().Add(h.Lapse.Renewal)
+		h.returning[dataCentre] = time.Now().Add(h.LeaseExpiry.Renewal)
 	}
 	h.Log.WithFields(logrus.Fields{"event": "evacuation", "data_centre": dataCentre, "evacuated": evacuated}).Info("evacuation in force")
 	h.publish()
--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -181,7 +181,7 @@
 	}
 	balancer := balance.New("front", place.Map{DataCentre: "here"})
 	r.entries = catalog.NewServersHandler(catalog.ServersOptions{Catalog: r.catalog, Prefix: "s/", Decode: decodeServer,
-		Lapse: policy.NewLeaseExpiry(time.Second), Log: log, OnStarted: func(id incarnation.ID) { balancer.ServerStarted(id) }})
+		LeaseExpiry: policy.NewLeaseExpiry(time.Second), Log: log, OnStarted: func(id incarnation.ID) { balancer.ServerStarted(id) }})
 	r.entries.Reset(r.objects, 1)
 	r.configure(log)
 	dial := (&net.Dialer{}).DialContext
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -189,7 +189,7 @@
 	})
 	servers := catalog.NewServersHandler(catalog.ServersOptions{
 		Catalog: f.catalog, Place: f.settings.Place(), Prefix: platform.ServersPrefix,
-		Decode: platform.DecodeServer, Lapse: policy.NewLeaseExpiry(f.settings.Heartbeat), Log: f.log, OnStarted: f.serverStarted,
+		Decode: platform.DecodeServer, LeaseExpiry: policy.NewLeaseExpiry(f.settings.Heartbeat), Log: f.log, OnStarted: f.serverStarted,
 		OnRefused: func(reason catalog.RefusalReason) { f.metrics.Count("rookpass_entries_refused_total", string(reason)) },
 	})
 	handlers := map[watch.Handler]time.Duration{
