--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -18,8 +18,8 @@
 // ServersOptions are what a ServersHandler works with.
 type ServersOptions struct {
 	Catalog *Catalog
-	// Place is where this daemon stands.
-	Place place.Map
+	// Topology is where this daemon stands.
+	Topology place.Map
 	// Prefix is the part of a key before a server's name.
 	Prefix      string
 	Decode      DecodeServer
@@ -318,8 +318,8 @@
 
 // publish makes the servers known to requests. It is called with the lock held.
 func (h *ServersHandler) publish() {
-	view := h.Catalog.Servers().with(h.revision, h.Place, h.changed, h.inUse)
-	view.evacuated, view.regions, view.coldUntil = h.evacuated, h.Place.Regions, h.coldUntil(time.Now())
+	view := h.Catalog.Servers().with(h.revision, h.Topology, h.changed, h.inUse)
+	view.evacuated, view.regions, view.coldUntil = h.evacuated, h.Topology.Regions, h.coldUntil(time.Now())
 	h.Catalog.servers.Store(view)
 	h.changed = map[string]bool{} // not cleared: it would keep the room of the largest batch
 }
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -188,7 +188,7 @@
 		return run(&handler{prefix: layoutPrefix, apply: f.applyLayout}, frontWait)
 	})
 	servers := catalog.NewServersHandler(catalog.ServersOptions{
-		Catalog: f.catalog, Place: f.settings.Place(), Prefix: platform.ServersPrefix,
+		Catalog: f.catalog, Topology: f.settings.Place(), Prefix: platform.ServersPrefix,
 		Decode: platform.DecodeServer, LeaseExpiry: policy.NewLeaseExpiry(f.settings.Heartbeat), Log: f.log, OnStarted: f.serverStarted,
 		OnRefused: func(reason catalog.RefusalReason) { f.metrics.Count("rookpass_entries_refused_total", string(reason)) },
 	})
