--- a/internal/front/catalog/catalog.go
+++ b/internal/front/catalog/catalog.go
@@ -175,8 +175,8 @@
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Pick returns the service for a request, by the targets' weights; r lies in [0, 1).
-func (r *Route) Pick(random float64) string {
+// PickService returns the service for a request, by the targets' weights; r lies in [0, 1).
+func (r *Route) PickService(random float64) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
--- a/internal/front/catalog/catalog_test.go
+++ b/internal/front/catalog/catalog_test.go
@@ -45,10 +45,10 @@
 	route := catalog.Route{Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[route.Pick(float64(i)/1000)]++
+		counts[route.PickService(float64(i)/1000)]++
 	}
 	assert.DeepEqual(t, counts, map[string]int{"a": 900, "b": 100})
-	assert.Equal(t, (&catalog.Route{}).Pick(0.5), "")
+	assert.Equal(t, (&catalog.Route{}).PickService(0.5), "")
 }
 
 // TestConfigurationsNeverGoBack: an older version is not put in force, however it comes.
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -168,7 +168,7 @@
 		x.boundWrites(x.until.Add(writeSlack))
 		defer x.boundWrites(time.Time{})
 	}
-	x.service = x.route.Pick(random())
+	x.service = x.route.PickService(random())
 	var refused *refusal
 	if x.route.RetainTurns || x.route.Kind == catalog.Stream {
 		refused = x.serveStream()
