--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -79,8 +79,8 @@
 	Dialect  call.Dialect
 	Log      logrus.FieldLogger
 	Stats    *Stats
-	// Gate decides which turns go to model servers when.
-	Gate *dispatch.Scheduler
+	// Scheduler decides which turns go to model servers when.
+	Scheduler *dispatch.Scheduler
 	// BodyBytes bounds what bodies of requests hold together, in bytes.
 	BodyBytes int64
 	// Proofs are how old the configuration may be by which callers' keys are judged.
@@ -92,7 +92,7 @@
 // New returns a gateway.
 func New(o Options) *Gateway {
 	g := &Gateway{catalog: o.Catalog, balancer: o.Balancer, sender: o.Sender, ledger: o.Ledger, dialect: o.Dialect,
-		log: o.Log, stats: o.Stats, gate: o.Gate, proofs: o.Proofs, quotas: o.Quotas, bodies: semaphore.NewWeighted(o.BodyBytes)}
+		log: o.Log, stats: o.Stats, gate: o.Scheduler, proofs: o.Proofs, quotas: o.Quotas, bodies: semaphore.NewWeighted(o.BodyBytes)}
 	g.steps = []step{withCallInfo, withConfig, withRoute, withOrganisation, withDeadline, withBody, withinLimit}
 	return g
 }
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -106,7 +106,7 @@
 	f.ledger = ledger.New(b.links, b.settings.Place(), int(cacheShare*float64(b.settings.MemoryBytes)), b.log)
 	f.gateway = gateway.New(gateway.Options{
 		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, Dialect: platform.Headers{},
-		Log: b.log, Stats: gateway.NewStats(b.metrics), Gate: f.gate, BodyBytes: int64(bodyShare * float64(b.settings.MemoryBytes)),
+		Log: b.log, Stats: gateway.NewStats(b.metrics), Scheduler: f.gate, BodyBytes: int64(bodyShare * float64(b.settings.MemoryBytes)),
 		Proofs: policy.NewConfigAgeLimits(b.settings.Withdrawal, b.settings.Change), Quotas: quota.NewClient(b.links, f.homes),
 	})
 	b.metrics.Gauge("rookpass_connections_opened_total", func() float64 { return float64(f.pool.Opened()) })
