--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -83,8 +83,8 @@
 	Scheduler *dispatch.Scheduler
 	// BodyBytes bounds what bodies of requests hold together, in bytes.
 	BodyBytes int64
-	// Proofs are how old the configuration may be by which callers' keys are judged.
-	Proofs policy.ConfigAgeLimits
+	// ConfigAgeLimits are how old the configuration may be by which callers' keys are judged.
+	ConfigAgeLimits policy.ConfigAgeLimits
 	// Quotas grants requests of organisations that have a limit.
 	Quotas Quotas
 }
@@ -92,7 +92,7 @@
 // New returns a gateway.
 func New(o Options) *Gateway {
 	g := &Gateway{catalog: o.Catalog, balancer: o.Balancer, sender: o.Sender, ledger: o.Ledger, dialect: o.Dialect,
-		log: o.Log, stats: o.Stats, gate: o.Scheduler, proofs: o.Proofs, quotas: o.Quotas, bodies: semaphore.NewWeighted(o.BodyBytes)}
+		log: o.Log, stats: o.Stats, gate: o.Scheduler, proofs: o.ConfigAgeLimits, quotas: o.Quotas, bodies: semaphore.NewWeighted(o.BodyBytes)}
 	g.steps = []step{withCallInfo, withConfig, withRoute, withOrganisation, withDeadline, withBody, withinLimit}
 	return g
 }
