--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -186,7 +186,7 @@
 	r.configure(log)
 	dial := (&net.Dialer{}).DialContext
 	r.gateway = gateway.New(gateway.Options{Catalog: r.catalog, Balancer: balancer, Sender: upstream.NewPool(dial, dialect{}, 100),
-		Ledger: r.books, Dialect: dialect{}, Log: log, Stats: gateway.NewStats(metrics.New()), Scheduler: r.gate, BodyBytes: 1500,
+		Ledger: r.books, HeaderCodec: dialect{}, Log: log, Stats: gateway.NewStats(metrics.New()), Scheduler: r.gate, BodyBytes: 1500,
 		ConfigAgeLimits: policy.NewConfigAgeLimits(keyWithdrawal, keyAddition), Quotas: r.quotas})
 	front := httptest.NewServer(r.gateway)
 	t.Cleanup(front.Close)
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -72,13 +72,13 @@
 
 // Options are what a gateway needs.
 type Options struct {
-	Catalog  *catalog.Catalog
-	Balancer *balance.Balancer
-	Sender   Sender
-	Ledger   Ledger
-	Dialect  call.Dialect
-	Log      logrus.FieldLogger
-	Stats    *Stats
+	Catalog     *catalog.Catalog
+	Balancer    *balance.Balancer
+	Sender      Sender
+	Ledger      Ledger
+	HeaderCodec call.Dialect
+	Log         logrus.FieldLogger
+	Stats       *Stats
 	// Scheduler decides which turns go to model servers when.
 	Scheduler *dispatch.Scheduler
 	// BodyBytes bounds what bodies of requests hold together, in bytes.
@@ -91,7 +91,7 @@
 
 // New returns a gateway.
 func New(o Options) *Gateway {
-	g := &Gateway{catalog: o.Catalog, balancer: o.Balancer, sender: o.Sender, ledger: o.Ledger, dialect: o.Dialect,
+	g := &Gateway{catalog: o.Catalog, balancer: o.Balancer, sender: o.Sender, ledger: o.Ledger, dialect: o.HeaderCodec,
 		log: o.Log, stats: o.Stats, gate: o.Scheduler, proofs: o.ConfigAgeLimits, quotas: o.Quotas, bodies: semaphore.NewWeighted(o.BodyBytes)}
 	g.steps = []step{withCallInfo, withConfig, withRoute, withOrganisation, withDeadline, withBody, withinLimit}
 	return g
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -105,7 +105,7 @@
 	b.links.WithDetour(f.detour.Dial, diskPatience)
 	f.ledger = ledger.New(b.links, b.settings.Place(), int(cacheShare*float64(b.settings.MemoryBytes)), b.log)
 	f.gateway = gateway.New(gateway.Options{
-		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, Dialect: platform.Headers{},
+		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, HeaderCodec: platform.Headers{},
 		Log: b.log, Stats: gateway.NewStats(b.metrics), Scheduler: f.gate, BodyBytes: int64(bodyShare * float64(b.settings.MemoryBytes)),
 		ConfigAgeLimits: policy.NewConfigAgeLimits(b.settings.Withdrawal, b.settings.Change), Quotas: quota.NewClient(b.links, f.homes),
 	})
