--- a/internal/front/exchange/relay.go
+++ b/internal/front/exchange/relay.go
@@ -97,8 +97,8 @@
 type Relayer struct {
 	Service *Service
 	Links   *peerlink.Set
-	// Self is this daemon's address.
-	Self string
+	// SelfAddress is this daemon's address.
+	SelfAddress string
 	// HubsByArea returns where each hub may be, the likeliest first: one in each data centre where daemons are many, else one in
 	// each region.
 	HubsByArea func(crowded bool) map[string][]string
@@ -122,7 +122,7 @@
 func (r *Relayer) Run(ctx context.Context) error {
 	r.moves = map[string]move{}
 	for wait.For(ctx, relayPause) == nil {
-		sums := r.Service.Sums(r.Self)
+		sums := r.Service.Sums(r.SelfAddress)
 		if sums == nil {
 			continue
 		}
@@ -143,7 +143,7 @@
 func (r *Relayer) tell(ctx context.Context, name string, places []string, sums *Sums) {
 	moved := r.moved(name)
 	place := places[moved%len(places)]
-	if place == r.Self {
+	if place == r.SelfAddress {
 		return // its daemons have moved here
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -82,7 +82,7 @@
 		listener, err := h.fabric.Listen(host, disk.Address)
 		assert.NilError(t, err)
 		go func() { _ = peerlink.Serve(listener, map[string]any{exchange.ServiceName: service}) }()
-		relayer := &exchange.Relayer{Service: service, Links: peerlink.NewSet(dialer(host)), Self: disk.Address, Log: quiet(),
+		relayer := &exchange.Relayer{Service: service, Links: peerlink.NewSet(dialer(host)), SelfAddress: disk.Address, Log: quiet(),
 			HubsByArea: func(crowded bool) map[string][]string { return exchange.HubsByArea(h.disks, nil, crowded) }}
 		work.Go(func() { _ = relayer.Run(ctx) })
 	}
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -136,7 +136,7 @@
 	}
 	group.Go(func() error { return controller.Run(ctx) })
 	group.Go(func() error {
-		relayer := &exchange.Relayer{Service: hub, Links: b.links, Self: s.PeerAddress(), HubsByArea: hubPlaces(store, s.Regions), Log: b.log}
+		relayer := &exchange.Relayer{Service: hub, Links: b.links, SelfAddress: s.PeerAddress(), HubsByArea: hubPlaces(store, s.Regions), Log: b.log}
 		return relayer.Run(ctx)
 	})
 	group.Go(func() error { return b.followSettings(ctx) })
