--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -97,7 +97,7 @@
 	for id != "" {
 		r := b.turns[id]
 		if r == nil {
-			return nil, ledger.ErrNoTurn
+			return nil, ledger.ErrTurnNotFound
 		}
 		chain = append([]*turn.Record{r}, chain...)
 		id = r.Previous
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -100,7 +100,7 @@
 // refusalOf returns what a turn is told whose history could not be read or whose tokens could not be reserved.
 func refusalOf(chainErr, reserveErr error) *refusal {
 	switch {
-	case errors.Is(chainErr, ledger.ErrNoTurn):
+	case errors.Is(chainErr, ledger.ErrTurnNotFound):
 		return &refusal{status: http.StatusNotFound, reason: "no-such-turn", err: chainErr}
 	case chainErr != nil:
 		return &refusal{status: http.StatusServiceUnavailable, reason: "history-unsure", retryAfter: jitter(retryLedger), err: chainErr}
--- a/internal/turns/ledger/chain.go
+++ b/internal/turns/ledger/chain.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		found, err := l.fetchUntil(ctx, program, next)
-		if errors.Is(err, ErrNoTurn) && len(chain) > 0 {
+		if errors.Is(err, ErrTurnNotFound) && len(chain) > 0 {
 			return nil, fmt.Errorf("%w: turn %s before %s", ErrUnsure, next, id)
 		}
 		if err != nil {
@@ -46,7 +46,7 @@
 func (l *Ledger) fetchUntil(ctx context.Context, program, id string) ([]turn.Record, error) {
 	for {
 		found, err := l.fetch(ctx, program, id)
-		if err == nil || errors.Is(err, ErrNoTurn) || ctx.Err() != nil {
+		if err == nil || errors.Is(err, ErrTurnNotFound) || ctx.Err() != nil {
 			return found, err
 		}
 		if waitErr := wait.For(ctx, retryPause); waitErr != nil {
@@ -113,7 +113,7 @@
 				absent++
 			}
 			if absent >= current.Absence() {
-				return nil, ErrNoTurn
+				return nil, ErrTurnNotFound
 			}
 			askNext()
 			for absent >= len(group) && asked < len(order) {
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -21,8 +21,8 @@
 )
 
 var (
-	// ErrNoTurn means that no such turn is kept. It is certain.
-	ErrNoTurn = errors.New("no such turn")
+	// ErrTurnNotFound means that no such turn is kept. It is certain.
+	ErrTurnNotFound = errors.New("no such turn")
 	// ErrUnsure means that too few disks answered to know.
 	ErrUnsure = errors.New("too few disks answered")
 	// ErrBudget means that the turn might not fit into what is left of the program's budget.
--- a/internal/turns/ledger/ledger_test.go
+++ b/internal/turns/ledger/ledger_test.go
@@ -58,7 +58,7 @@
 				keep(t, c.ledger("front-1"), programs)
 				check(t, c.ledger("front-2"), programs)
 				_, err := c.ledger("front-3").Chain(within(t, time.Second), "p1", "nowhere")
-				assert.ErrorIs(t, err, ledger.ErrNoTurn)
+				assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 			})
 		})
 	}
@@ -81,11 +81,11 @@
 		l := c.ledger("front-1")
 		c.kill(node(0))
 		_, err := l.Chain(within(t, 3*time.Second), "p", "nowhere")
-		assert.ErrorIs(t, err, ledger.ErrNoTurn)
+		assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 		c.kill(node(1))
 		_, err = l.Chain(within(t, 3*time.Second), "p", "nowhere")
 		assert.ErrorIs(t, err, ledger.ErrUnsure)
-		assert.Assert(t, !errors.Is(err, ledger.ErrNoTurn))
+		assert.Assert(t, !errors.Is(err, ledger.ErrTurnNotFound))
 	})
 }
 
@@ -96,14 +96,14 @@
 		c := newCluster(t, 9, 1)
 		c.eventually(func() bool { // every disk knows the layout
 			_, err := c.ledger("front-1").Chain(within(t, 30*time.Millisecond), "p", "nowhere")
-			return errors.Is(err, ledger.ErrNoTurn)
+			return errors.Is(err, ledger.ErrTurnNotFound)
 		})
 		c.fabric.Freeze(node(4))
 		defer c.fabric.Thaw(node(4))
 		for i := range programs {
 			began := time.Now()
 			_, err := c.ledger("front-1").Chain(within(t, 3*time.Second), fmt.Sprint("p", i), "nowhere")
-			assert.ErrorIs(t, err, ledger.ErrNoTurn)
+			assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 			assert.Assert(t, time.Since(began) <= 60*time.Millisecond, "told after %v", time.Since(began))
 		}
 	})
@@ -357,7 +357,7 @@
 		assert.NilError(t, l.Flush(within(t, time.Second)))
 		other := c.ledger("front-2")
 		_, err = other.Chain(within(t, time.Second), "p", "t1")
-		assert.ErrorIs(t, err, ledger.ErrNoTurn)
+		assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 		account, err := other.Reserve(within(t, time.Second), reserved("p", "t2", 71), 100)
 		assert.ErrorIs(t, err, ledger.ErrBudget)
 		assert.Equal(t, account.Spent, int64(30))
--- a/internal/turns/ledger/losses_test.go
+++ b/internal/turns/ledger/losses_test.go
@@ -65,7 +65,7 @@
 		assert.Equal(t, texts(t, reader, id, id), text)
 	}
 	_, err := reader.Chain(within(t, time.Second), "p", "nowhere")
-	assert.ErrorIs(t, err, ledger.ErrNoTurn)
+	assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 }
 
 // strike lets something happen to up to count holders of slots.
