--- a/internal/front/gateway/gateway_test.go
+++ b/internal/front/gateway/gateway_test.go
@@ -162,9 +162,9 @@
 		voided  bool
 	}{
 		{"no such turn", func(*books) {}, stream, []string{"Previous", "none"}, 404, true},
-		{"history unsure", func(b *books) { b.fail["chain"] = ledger.ErrUnsure }, stream, []string{"Previous", "t"}, 503, true},
+		{"history unsure", func(b *books) { b.fail["chain"] = ledger.ErrUnavailable }, stream, []string{"Previous", "t"}, 503, true},
 		{"budget spent", func(b *books) { b.spent = 950 }, stream, nil, 402, true},
-		{"budget unsure", func(b *books) { b.fail["reserve"] = ledger.ErrUnsure }, stream, nil, 503, true},
+		{"budget unsure", func(b *books) { b.fail["reserve"] = ledger.ErrUnavailable }, stream, nil, 503, true},
 		{"servers full", func(*books) {}, shed, nil, 503, true},
 		{"broken at the start", func(*books) {}, hangUp, nil, 502, false},
 		{"without an id", func(*books) {}, stream, []string{"Id", ""}, 400, false},
--- a/internal/turns/ledger/chain.go
+++ b/internal/turns/ledger/chain.go
@@ -27,7 +27,7 @@
 		}
 		found, err := l.fetchUntil(ctx, program, next)
 		if errors.Is(err, ErrTurnNotFound) && len(chain) > 0 {
-			return nil, fmt.Errorf("%w: turn %s before %s", ErrUnsure, next, id)
+			return nil, fmt.Errorf("%w: turn %s before %s", ErrUnavailable, next, id)
 		}
 		if err != nil {
 			return nil, err
@@ -69,7 +69,7 @@
 func (l *Ledger) fetch(ctx context.Context, program, id string) ([]turn.Record, error) {
 	current := l.layout.Load()
 	if current == nil {
-		return nil, ErrUnsure
+		return nil, ErrUnavailable
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -120,10 +120,10 @@
 				askNext()
 			}
 		case <-ctx.Done():
-			return nil, errors.Join(ErrUnsure, ctx.Err())
+			return nil, errors.Join(ErrUnavailable, ctx.Err())
 		}
 	}
-	return nil, errors.Join(ErrUnsure, problem)
+	return nil, errors.Join(ErrUnavailable, problem)
 }
 
 // everySlot returns all slots: those of a group first, and of those the nearest.
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -23,8 +23,8 @@
 var (
 	// ErrTurnNotFound means that no such turn is kept. It is certain.
 	ErrTurnNotFound = errors.New("no such turn")
-	// ErrUnsure means that too few disks answered to know.
-	ErrUnsure = errors.New("too few disks answered")
+	// ErrUnavailable means that too few disks answered to know.
+	ErrUnavailable = errors.New("too few disks answered")
 	// ErrBudget means that the turn might not fit into what is left of the program's budget.
 	ErrBudget = errors.New("token budget spent")
 )
@@ -168,7 +168,7 @@
 	for ctx.Err() == nil {
 		current := l.layout.Load()
 		if current == nil {
-			return nil, ErrUnsure
+			return nil, ErrUnavailable
 		}
 		round := l.send(ctx, current, record, account)
 		err := round.gather(ctx, l, account)
@@ -180,7 +180,7 @@
 			_ = wait.For(ctx, retryPause)
 		}
 	}
-	return nil, errors.Join(ErrUnsure, lastErr)
+	return nil, errors.Join(ErrUnavailable, lastErr)
 }
 
 // ack is one disk's answer to a write.
@@ -309,7 +309,7 @@
 	if r.held >= r.quorum {
 		return nil
 	}
-	return errors.Join(ErrUnsure, problem)
+	return errors.Join(ErrUnavailable, problem)
 }
 
 // askSpared asks the disks that were left out at first.
--- a/internal/turns/ledger/ledger_test.go
+++ b/internal/turns/ledger/ledger_test.go
@@ -84,7 +84,7 @@
 		assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 		c.kill(node(1))
 		_, err = l.Chain(within(t, 3*time.Second), "p", "nowhere")
-		assert.ErrorIs(t, err, ledger.ErrUnsure)
+		assert.ErrorIs(t, err, ledger.ErrUnavailable)
 		assert.Assert(t, !errors.Is(err, ledger.ErrTurnNotFound))
 	})
 }
@@ -124,7 +124,7 @@
 		for i := range programs {
 			p := fmt.Sprintf("p%d", i)
 			_, err := c.ledger("front-2").Chain(within(t, time.Second), p, p+"-a")
-			assert.ErrorIs(t, err, ledger.ErrUnsure)
+			assert.ErrorIs(t, err, ledger.ErrUnavailable)
 		}
 		c.start(node(1), false)
 		check(t, c.ledger("front-2"), programs)
