--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -112,7 +112,7 @@
 		return ledger.Account{}, err
 	}
 	if b.spent+r.Tokens > budget {
-		return ledger.Account{Spent: b.spent}, ledger.ErrBudget
+		return ledger.Account{Spent: b.spent}, ledger.ErrBudgetExceeded
 	}
 	return ledger.Account{Spent: b.spent}, nil
 }
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -104,7 +104,7 @@
 		return &refusal{status: http.StatusNotFound, reason: "no-such-turn", err: chainErr}
 	case chainErr != nil:
 		return &refusal{status: http.StatusServiceUnavailable, reason: "history-unsure", retryAfter: jitter(retryLedger), err: chainErr}
-	case errors.Is(reserveErr, ledger.ErrBudget):
+	case errors.Is(reserveErr, ledger.ErrBudgetExceeded):
 		return &refusal{status: http.StatusPaymentRequired, reason: "budget-spent", err: reserveErr}
 	case reserveErr != nil:
 		return &refusal{status: http.StatusServiceUnavailable, reason: "budget-unsure", retryAfter: jitter(retryLedger), err: reserveErr}
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -25,8 +25,8 @@
 	ErrTurnNotFound = errors.New("no such turn")
 	// ErrUnavailable means that too few disks answered to know.
 	ErrUnavailable = errors.New("too few disks answered")
-	// ErrBudget means that the turn might not fit into what is left of the program's budget.
-	ErrBudget = errors.New("token budget spent")
+	// ErrBudgetExceeded means that the turn might not fit into what is left of the program's budget.
+	ErrBudgetExceeded = errors.New("token budget spent")
 )
 
 const (
@@ -120,7 +120,7 @@
 		}
 	}
 	if account.Spent+record.Tokens > budget {
-		return account, ErrBudget
+		return account, ErrBudgetExceeded
 	}
 	return account, nil
 }
--- a/internal/turns/ledger/ledger_test.go
+++ b/internal/turns/ledger/ledger_test.go
@@ -224,7 +224,7 @@
 		c.wipe(node(1))
 		check(t, c.ledger("front-2"), programs)
 		account, err := c.ledger("front-2").Reserve(within(t, 5*time.Second), reserved("p0", "p0-s", 40), 100)
-		assert.ErrorIs(t, err, ledger.ErrBudget)
+		assert.ErrorIs(t, err, ledger.ErrBudgetExceeded)
 		assert.Equal(t, account.Spent, int64(90), "two turns of 10 and the reservation of 70")
 		// A daemon with the layout of before finds its way.
 		assert.NilError(t, old.Finish(within(t, 5*time.Second), finished("p0", "p0-r", "p0-b", "late")))
@@ -300,7 +300,7 @@
 			l := c.ledger(fmt.Sprintf("front-%d", i%5))
 			wg.Go(func() {
 				_, err := l.Reserve(within(t, 5*time.Second), reserved("p", fmt.Sprintf("t%d", i), 100), 1000)
-				if errors.Is(err, ledger.ErrBudget) {
+				if errors.Is(err, ledger.ErrBudgetExceeded) {
 					return
 				}
 				assert.Check(t, err)
@@ -325,7 +325,7 @@
 			assert.NilError(t, l.Finish(within(t, time.Second), finished("p", id, "", id)))
 		}
 		account, err := c.ledger("front-2").Reserve(within(t, time.Second), reserved("p", "last", 20), 100)
-		assert.ErrorIs(t, err, ledger.ErrBudget)
+		assert.ErrorIs(t, err, ledger.ErrBudgetExceeded)
 		assert.Equal(t, account.Spent, int64(90))
 	})
 }
@@ -359,7 +359,7 @@
 		_, err = other.Chain(within(t, time.Second), "p", "t1")
 		assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 		account, err := other.Reserve(within(t, time.Second), reserved("p", "t2", 71), 100)
-		assert.ErrorIs(t, err, ledger.ErrBudget)
+		assert.ErrorIs(t, err, ledger.ErrBudgetExceeded)
 		assert.Equal(t, account.Spent, int64(30))
 		_, err = other.Reserve(within(t, time.Second), reserved("p", "t3", 70), 171)
 		assert.NilError(t, err, "30 are spent and 71 reserved")
@@ -406,7 +406,7 @@
 		c.settled()
 		c.kill(node(2))
 		_, err = c.ledger("front-2").Reserve(within(t, 3*time.Second), reserved("p", "t2", 100), 150)
-		assert.ErrorIs(t, err, ledger.ErrBudget)
+		assert.ErrorIs(t, err, ledger.ErrBudgetExceeded)
 	})
 }
 
