--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -228,7 +228,7 @@
 		f.log.WithFields(logrus.Fields{"event": "layout-malformed", "error": err}).Error("layout not read")
 		return
 	}
-	f.ledger.Learn(l)
+	f.ledger.UpdateLayout(l)
 }
 
 // mirrors returns a function that lists the store daemons, those of this data centre first; which of them comes
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -65,8 +65,8 @@
 	return &Ledger{links: links, place: at, cache: newCache(cacheBytes), log: log}
 }
 
-// Learn takes a layout over if it is newer than the one in use.
-func (l *Ledger) Learn(next *layout.Layout) {
+// UpdateLayout takes a layout over if it is newer than the one in use.
+func (l *Ledger) UpdateLayout(next *layout.Layout) {
 	for {
 		current := l.layout.Load()
 		if current != nil && current.Epoch >= next.Epoch {
@@ -343,7 +343,7 @@
 // judge turns a disk's answer into an error, and learns the layout that it brings.
 func (l *Ledger) judge(header replica.Header) error {
 	if header.Layout != nil {
-		l.Learn(header.Layout)
+		l.UpdateLayout(header.Layout)
 	}
 	switch header.Status {
 	case replica.OK:
