--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -105,16 +105,16 @@
 	return chain, nil
 }
 
-func (b *books) Reserve(_ context.Context, r *turn.Record, budget int64) (ledger.Account, error) {
+func (b *books) Reserve(_ context.Context, r *turn.Record, budget int64) (ledger.ProgramUsage, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := b.fail["reserve"]; err != nil {
-		return ledger.Account{}, err
+		return ledger.ProgramUsage{}, err
 	}
 	if b.spent+r.Tokens > budget {
-		return ledger.Account{Spent: b.spent}, ledger.ErrBudgetExceeded
+		return ledger.ProgramUsage{Spent: b.spent}, ledger.ErrBudgetExceeded
 	}
-	return ledger.Account{Spent: b.spent}, nil
+	return ledger.ProgramUsage{Spent: b.spent}, nil
 }
 
 func (b *books) Finish(_ context.Context, r *turn.Record) error {
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -34,7 +34,7 @@
 type Ledger interface {
 	Ready() bool
 	Chain(ctx context.Context, program, id string) ([]*turn.Record, error)
-	Reserve(ctx context.Context, record *turn.Record, budget int64) (ledger.Account, error)
+	Reserve(ctx context.Context, record *turn.Record, budget int64) (ledger.ProgramUsage, error)
 	Finish(ctx context.Context, record *turn.Record) error
 	Settle(record *turn.Record)
 }
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -70,7 +70,7 @@
 		}
 	}()
 	p := prepared{}
-	var account ledger.Account
+	var account ledger.ProgramUsage
 	var reserveErr error
 	if x.info.HasBudget {
 		p.reservation = x.record(turn.Reserved, x.info.MaxOutputTokens)
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -96,21 +96,21 @@
 // answered, the one that came last to any one disk does. Where only a quorum has, two that meet on one disk
 // each may miss a third, so the disks are asked again once the reservation is durable: the one whose
 // reservation became durable last then sees all.
-func (l *Ledger) Reserve(ctx context.Context, record *turn.Record, budget int64) (Account, error) {
+func (l *Ledger) Reserve(ctx context.Context, record *turn.Record, budget int64) (ProgramUsage, error) {
 	r, err := l.write(ctx, record, true)
 	if err != nil {
-		return Account{}, err
+		return ProgramUsage{}, err
 	}
 	if !r.all() {
 		again, err := l.write(ctx, record, true)
 		if err != nil {
-			return Account{}, err
+			return ProgramUsage{}, err
 		}
 		for _, e := range again.known {
 			merge(r.known, e)
 		}
 	}
-	account := Account{Places: r.places, Aim: r.aim, Turns: len(r.known)}
+	account := ProgramUsage{Places: r.places, Aim: r.aim, Turns: len(r.known)}
 	if _, known := r.known[record.ID]; known {
 		account.Turns--
 	}
@@ -125,8 +125,8 @@
 	return account, nil
 }
 
-// Account is what the disks know of a program.
-type Account struct {
+// ProgramUsage is what the disks know of a program.
+type ProgramUsage struct {
 	// Spent are the tokens of its other turns, those reserved among them.
 	Spent int64
 	// Places are where its prompts are in cache, as the nearest disk knows them; none where that did not answer.
