--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -82,9 +82,9 @@
 	p.begun = len(chain) > 0 || account.Turns > 0
 	p.aim = max(account.Aim, x.info.FinishIn)
 	x.g.log.WithFields(logrus.Fields{"event": "turn", "id": x.info.ID, "program": x.info.Program, "previous": x.info.PreviousTurn,
-		"before": len(chain), "spent": account.Spent, "places": len(account.Places), "reserve": x.info.MaxOutputTokens, "budget": x.info.TokenBudget,
+		"before": len(chain), "spent": account.Spent, "places": len(account.CachedPrompts), "reserve": x.info.MaxOutputTokens, "budget": x.info.TokenBudget,
 		"ms": time.Since(x.arrived).Milliseconds()}).Info("turn prepared")
-	x.g.balancer.RecordCached(account.Places...)
+	x.g.balancer.RecordCached(account.CachedPrompts...)
 	if n := len(chain); n > 0 {
 		if place, known := chain[n-1].Place(); known {
 			x.g.balancer.RecordCached(place)
