--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -80,7 +80,7 @@
 	<-read
 	p.chain = chain
 	p.begun = len(chain) > 0 || account.Turns > 0
-	p.aim = max(account.Aim, x.info.FinishIn)
+	p.aim = max(account.TimeBudget, x.info.FinishIn)
 	x.g.log.WithFields(logrus.Fields{"event": "turn", "id": x.info.ID, "program": x.info.Program, "previous": x.info.PreviousTurn,
 		"before": len(chain), "spent": account.Spent, "places": len(account.CachedPrompts), "reserve": x.info.MaxOutputTokens, "budget": x.info.TokenBudget,
 		"ms": time.Since(x.arrived).Milliseconds()}).Info("turn prepared")
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -110,7 +110,7 @@
 			merge(r.known, e)
 		}
 	}
-	account := ProgramUsage{CachedPrompts: r.places, Aim: r.aim, Turns: len(r.known)}
+	account := ProgramUsage{CachedPrompts: r.places, TimeBudget: r.aim, Turns: len(r.known)}
 	if _, known := r.known[record.ID]; known {
 		account.Turns--
 	}
@@ -131,8 +131,8 @@
 	Spent int64
 	// CachedPrompts are where its prompts are in cache, as the nearest disk knows them; none where that did not answer.
 	CachedPrompts []turn.Place
-	// Aim is the time that it was given; 0 where that was not said, or where the nearest disk did not answer.
-	Aim time.Duration
+	// TimeBudget is the time that it was given; 0 where that was not said, or where the nearest disk did not answer.
+	TimeBudget time.Duration
 	// Turns is how many other turns of it the disks know of.
 	Turns int
 }
