--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -99,7 +99,7 @@
 // TestTurnsGoWhereTheirPromptIs: unless that server is far busier.
 func TestTurnsGoWhereTheirPromptIs(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
-	b.RecordCached(turn.Place{Server: id("2"), Part: "own", Held: 3800})
+	b.RecordCached(turn.CachedPrompt{Server: id("2"), Part: "own", Held: 3800})
 	ask := balance.Request{Servers: servers(4), PromptTokens: 4000, Parts: []call.Part{{ID: "own", Tokens: 4000}}}
 	for range 4 {
 		assert.Equal(t, pick(t, b, ask).Server.ID, id("2"))
@@ -215,7 +215,7 @@
 		for range 12 { // three calls of this daemon on each server, with other prompts
 			pick(t, b, balance.Request{Servers: list, PromptTokens: 100})
 		}
-		b.RecordCached(turn.Place{Server: id("1"), Part: "own", Held: 300})
+		b.RecordCached(turn.CachedPrompt{Server: id("1"), Part: "own", Held: 300})
 		ask := balance.Request{Servers: list[1:2], PromptTokens: 400, Parts: []call.Part{{ID: "own", Tokens: 400}}}
 		for range 5 { // and more on the one that holds the prompt
 			pick(t, b, ask)
--- a/internal/front/balance/connecttime_test.go
+++ b/internal/front/balance/connecttime_test.go
@@ -26,7 +26,7 @@
 	for range 50 {
 		b.RecordConnectTime("b1", 30*time.Millisecond)
 	}
-	b.RecordCached(turn.Place{Server: id("away"), Part: "shared", Held: 800})
+	b.RecordCached(turn.CachedPrompt{Server: id("away"), Part: "shared", Held: 800})
 	assert.Equal(t, pick(t, b, ask()).Server.ID, id("home"), "800 tokens are read in 16 ms")
 	went := 0
 	for range 20 {
--- a/internal/front/balance/parts.go
+++ b/internal/front/balance/parts.go
@@ -68,7 +68,7 @@
 }
 
 // RecordCached notes what servers are known to hold, from this daemon or from others.
-func (b *Balancer) RecordCached(places ...turn.Place) {
+func (b *Balancer) RecordCached(places ...turn.CachedPrompt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range places {
--- a/internal/front/balance/parts_test.go
+++ b/internal/front/balance/parts_test.go
@@ -51,8 +51,8 @@
 	prompt := []call.Part{{ID: "shared", Tokens: 500}, {ID: "parent", Tokens: 2000}, {ID: "session", Tokens: 700}}
 	for range 20 {
 		balancer := New("front", place.Map{})
-		balancer.RecordCached(turn.Place{Server: b, Part: "parent", Held: 2000})
-		balancer.RecordCached(turn.Place{Server: c, Part: "session", Held: 400})
+		balancer.RecordCached(turn.CachedPrompt{Server: b, Part: "parent", Held: 2000})
+		balancer.RecordCached(turn.CachedPrompt{Server: c, Part: "session", Held: 400})
 		choice, found := balancer.Pick(&Request{Servers: list, PromptTokens: 3200, Parts: prompt})
 		assert.Assert(t, found)
 		assert.Equal(t, choice.Server.ID, c)
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -32,7 +32,7 @@
 func TestNothingIsCarriedOverToTheNextStart(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	old, new := startsOf("a", 1), startsOf("a", 2)
-	b.RecordCached(turn.Place{Server: old[0].ID, Part: "own", Held: 900})
+	b.RecordCached(turn.CachedPrompt{Server: old[0].ID, Part: "own", Held: 900})
 	for range 3 {
 		pick(t, b, balance.Request{Servers: old}).Done(balance.Failed)
 	}
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -138,7 +138,7 @@
 	if n := len(x.info.Parts); n > 0 {
 		last := x.info.Parts[n-1]
 		record.Part, record.Held = last.ID, last.Tokens+tokens
-		x.g.balancer.RecordCached(turn.Place{Server: server.ID, Part: record.Part, Held: record.Held})
+		x.g.balancer.RecordCached(turn.CachedPrompt{Server: server.ID, Part: record.Part, Held: record.Held})
 	}
 	if !x.route.RetainTurns {
 		if p.reservation != nil {
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -130,7 +130,7 @@
 	// Spent are the tokens of its other turns, those reserved among them.
 	Spent int64
 	// CachedPrompts are where its prompts are in cache, as the nearest disk knows them; none where that did not answer.
-	CachedPrompts []turn.Place
+	CachedPrompts []turn.CachedPrompt
 	// TimeBudget is the time that it was given; 0 where that was not said, or where the nearest disk did not answer.
 	TimeBudget time.Duration
 	// Turns is how many other turns of it the disks know of.
@@ -202,7 +202,7 @@
 	held   int
 	quorum int
 	known  map[string]replica.Entry
-	places []turn.Place
+	places []turn.CachedPrompt
 	aim    time.Duration
 }
 
--- a/internal/turns/ledger/ledger_test.go
+++ b/internal/turns/ledger/ledger_test.go
@@ -384,8 +384,8 @@
 		assert.NilError(t, l.Finish(within(t, time.Second), kept))
 		account, err := c.ledger("front-2").Reserve(within(t, time.Second), reserved("p", "t5", 20), 100)
 		assert.NilError(t, err)
-		slices.SortFunc(account.CachedPrompts, func(a, b turn.Place) int { return strings.Compare(a.Part, b.Part) })
-		assert.DeepEqual(t, account.CachedPrompts, []turn.Place{{Server: incarnation.ID{Server: "a"}, Part: "helper", Held: 90}, {Server: incarnation.ID{Server: "c", Born: 5}, Part: "kept", Held: 40},
+		slices.SortFunc(account.CachedPrompts, func(a, b turn.CachedPrompt) int { return strings.Compare(a.Part, b.Part) })
+		assert.DeepEqual(t, account.CachedPrompts, []turn.CachedPrompt{{Server: incarnation.ID{Server: "a"}, Part: "helper", Held: 90}, {Server: incarnation.ID{Server: "c", Born: 5}, Part: "kept", Held: 40},
 			{Server: incarnation.ID{Server: "b"}, Part: "main", Held: 700}})
 	})
 }
--- a/internal/turns/replica/index.go
+++ b/internal/turns/replica/index.go
@@ -30,7 +30,7 @@
 	name  string
 	turns []*entry
 	// places holds where its prompts are in cache, by part: what the turn said that ended last.
-	places map[string]turn.Place
+	places map[string]turn.CachedPrompt
 	// aim is the longest time that a turn of the program had left when it came: that of its first.
 	aim       time.Duration
 	touched   time.Time
@@ -65,7 +65,7 @@
 	defer x.mu.Unlock()
 	p := x.programs[r.Program]
 	if p == nil {
-		p = &program{name: r.Program, places: map[string]turn.Place{}}
+		p = &program{name: r.Program, places: map[string]turn.CachedPrompt{}}
 		x.programs[r.Program] = p
 	}
 	p.touched = now
@@ -106,7 +106,7 @@
 }
 
 // places returns where a program's prompts are in cache, and the time that it was given.
-func (x *index) places(name string) ([]turn.Place, time.Duration) {
+func (x *index) places(name string) ([]turn.CachedPrompt, time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	p := x.programs[name]
--- a/internal/turns/replica/messages.go
+++ b/internal/turns/replica/messages.go
@@ -62,7 +62,7 @@
 type WriteReply struct {
 	Header  Header
 	Entries []Entry
-	Places  []turn.Place
+	Places  []turn.CachedPrompt
 	// Aim is the time that the program was given at most by any of its turns; it comes with Places.
 	Aim time.Duration
 }
--- a/internal/turns/turn/turn.go
+++ b/internal/turns/turn/turn.go
@@ -83,8 +83,8 @@
 	return organisation + keySeparator + id
 }
 
-// Place tells what a server has in cache after a turn.
-type Place struct {
+// CachedPrompt tells what a server has in cache after a turn.
+type CachedPrompt struct {
 	Server incarnation.ID
 	// Part is a part of a prompt, Held how many of its tokens are in cache.
 	Part string
@@ -92,8 +92,8 @@
 }
 
 // Place returns where the turn's prompt is in cache, or false where that is not known.
-func (r *Record) Place() (Place, bool) {
-	return Place{Server: r.Server, Part: r.Part, Held: r.Held}, r.Part != "" && !r.Server.IsZero()
+func (r *Record) Place() (CachedPrompt, bool) {
+	return CachedPrompt{Server: r.Server, Part: r.Part, Held: r.Held}, r.Part != "" && !r.Server.IsZero()
 }
 
 // Counts returns what the record counts against the program's budget.
--- a/internal/turns/turn/turn_test.go
+++ b/internal/turns/turn/turn_test.go
@@ -47,7 +47,7 @@
 	assert.Assert(t, !known)
 	place, known := r.Place()
 	assert.Assert(t, known)
-	assert.Equal(t, place, turn.Place{Server: incarnation.ID{Server: "s"}, Part: "part", Held: 7})
+	assert.Equal(t, place, turn.CachedPrompt{Server: incarnation.ID{Server: "s"}, Part: "part", Held: 7})
 }
 
 func FuzzDecode(f *testing.F) {
