--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -86,7 +86,7 @@
 		"ms": time.Since(x.arrived).Milliseconds()}).Info("turn prepared")
 	x.g.balancer.RecordCached(account.CachedPrompts...)
 	if n := len(chain); n > 0 {
-		if place, known := chain[n-1].Place(); known {
+		if place, known := chain[n-1].CachedPrompt(); known {
 			x.g.balancer.RecordCached(place)
 		}
 	}
--- a/internal/turns/replica/index.go
+++ b/internal/turns/replica/index.go
@@ -81,7 +81,7 @@
 	} else {
 		x.live[e.position.Segment]--
 	}
-	if place, known := r.Place(); known {
+	if place, known := r.CachedPrompt(); known {
 		p.places[place.Part] = place
 	}
 	x.sequence++
--- a/internal/turns/turn/turn.go
+++ b/internal/turns/turn/turn.go
@@ -91,8 +91,8 @@
 	Held int64
 }
 
-// Place returns where the turn's prompt is in cache, or false where that is not known.
-func (r *Record) Place() (CachedPrompt, bool) {
+// CachedPrompt returns where the turn's prompt is in cache, or false where that is not known.
+func (r *Record) CachedPrompt() (CachedPrompt, bool) {
 	return CachedPrompt{Server: r.Server, Part: r.Part, Held: r.Held}, r.Part != "" && !r.Server.IsZero()
 }
 
--- a/internal/turns/turn/turn_test.go
+++ b/internal/turns/turn/turn_test.go
@@ -43,9 +43,9 @@
 	back, err := turn.Decode(now[:before])
 	assert.NilError(t, err)
 	assert.Equal(t, back.Part, "")
-	_, known := back.Place()
+	_, known := back.CachedPrompt()
 	assert.Assert(t, !known)
-	place, known := r.Place()
+	place, known := r.CachedPrompt()
 	assert.Assert(t, known)
 	assert.Equal(t, place, turn.CachedPrompt{Server: incarnation.ID{Server: "s"}, Part: "part", Held: 7})
 }
