--- a/internal/turns/replica/index.go
+++ b/internal/turns/replica/index.go
@@ -85,7 +85,7 @@
 		p.places[place.Part] = place
 	}
 	x.sequence++
-	e.state, e.tokens, e.previous, e.position, e.sequence = r.State, r.Counts(), r.Previous, position, x.sequence
+	e.state, e.tokens, e.previous, e.position, e.sequence = r.State, r.ChargedTokens(), r.Previous, position, x.sequence
 	x.live[position.Segment]++
 	return true
 }
--- a/internal/turns/turn/turn.go
+++ b/internal/turns/turn/turn.go
@@ -96,8 +96,8 @@
 	return CachedPrompt{Server: r.Server, Part: r.Part, Held: r.Held}, r.Part != "" && !r.Server.IsZero()
 }
 
-// Counts returns what the record counts against the program's budget.
-func (r *Record) Counts() int64 {
+// ChargedTokens returns what the record counts against the program's budget.
+func (r *Record) ChargedTokens() int64 {
 	if r.State == Void {
 		return 0
 	}
--- a/internal/turns/turn/turn_test.go
+++ b/internal/turns/turn/turn_test.go
@@ -30,7 +30,7 @@
 func TestOnlyVoidTurnsCountNothing(t *testing.T) {
 	for state, counts := range map[turn.State]int64{turn.Reserved: 5, turn.Void: 0, turn.Finished: 5, turn.Settled: 5} {
 		r := turn.Record{State: state, Tokens: 5}
-		assert.Equal(t, r.Counts(), counts, "%s", state)
+		assert.Equal(t, r.ChargedTokens(), counts, "%s", state)
 	}
 }
 
