--- a/internal/turns/layout/layout.go
+++ b/internal/turns/layout/layout.go
@@ -77,7 +77,7 @@
 
 // Disks returns the disks that hold slots, in the order of the slots.
 func (l *Layout) Disks() []Disk {
-	disks := make([]Disk, 0, l.Live())
+	disks := make([]Disk, 0, l.OccupiedSlots())
 	for _, slot := range l.Slots {
 		if !slot.Vacant {
 			disks = append(disks, slot.Disk)
@@ -86,8 +86,8 @@
 	return disks
 }
 
-// Live returns the number of slots that have a disk. Each write asks for it, so it makes no list.
-func (l *Layout) Live() int {
+// OccupiedSlots returns the number of slots that have a disk. Each write asks for it, so it makes no list.
+func (l *Layout) OccupiedSlots() int {
 	n := 0
 	for i := range l.Slots {
 		if !l.Slots[i].Vacant {
@@ -112,10 +112,10 @@
 
 // Quorum is how many slots of a group must hold a record to make it durable, and how many must answer for a
 // budget to be known: any two quorums share a slot.
-func (l *Layout) Quorum() int { return min(l.Tolerance+1, l.Live()) }
+func (l *Layout) Quorum() int { return min(l.Tolerance+1, l.OccupiedSlots()) }
 
 // Absence is how many slots of the whole layout must say that they have no such record for it not to exist.
-func (l *Layout) Absence() int { return l.Live() - l.Quorum() + 1 }
+func (l *Layout) Absence() int { return l.OccupiedSlots() - l.Quorum() + 1 }
 
 // SlotOf returns the slot that a disk holds, or -1.
 func (l *Layout) SlotOf(disk string) int {
--- a/internal/turns/layout/layout_test.go
+++ b/internal/turns/layout/layout_test.go
@@ -30,13 +30,13 @@
 			l.Slots[i].Vacant = l.MayLeave(i) && rapid.Bool().Draw(t, "vacant")
 		}
 		group := l.Group(rapid.String().Draw(t, "program"))
-		assert.Equal(t, len(group), min(2*l.Tolerance+1, l.Live()))
+		assert.Equal(t, len(group), min(2*l.Tolerance+1, l.OccupiedSlots()))
 		for _, slot := range group {
 			assert.Assert(t, !l.Slots[slot].Vacant)
 		}
 		assert.Equal(t, len(slices.Compact(slices.Sorted(slices.Values(group)))), len(group))
 		assert.Assert(t, 2*l.Quorum() > len(group))
-		assert.Assert(t, l.Quorum()+l.Absence() > l.Live())
+		assert.Assert(t, l.Quorum()+l.Absence() > l.OccupiedSlots())
 	})
 }
 
--- a/internal/turns/replica/fill.go
+++ b/internal/turns/replica/fill.go
@@ -32,7 +32,7 @@
 	missing := newShortfall(c.store.index)
 	unheard := c.listAll(ctx, l, slot, missing)
 	if unheard > max(0, l.Tolerance-1) {
-		return Error.New("slot %d: %d of %d disks did not tell what they have", slot, unheard, l.Live()-1)
+		return Error.New("slot %d: %d of %d disks did not tell what they have", slot, unheard, l.OccupiedSlots()-1)
 	}
 	copied, err := c.copyMissing(ctx, l, missing)
 	if err != nil {
--- a/internal/turns/replica/leave.go
+++ b/internal/turns/replica/leave.go
@@ -59,7 +59,7 @@
 	if err := c.store.fence(next.Epoch); err != nil {
 		return err
 	}
-	c.log.WithFields(logrus.Fields{"event": "slot-leave", "slot": slot, "epoch": next.Epoch, "live": l.Live()}).Info("giving a slot up: no spare disk took it")
+	c.log.WithFields(logrus.Fields{"event": "slot-leave", "slot": slot, "epoch": next.Epoch, "live": l.OccupiedSlots()}).Info("giving a slot up: no spare disk took it")
 	return c.put(ctx, next)
 }
 
