--- a/internal/turns/layout/layout.go
+++ b/internal/turns/layout/layout.go
@@ -97,8 +97,8 @@
 	return n
 }
 
-// MayLeave tells whether a slot can be given up: the others that stay must make whole groups.
-func (l *Layout) MayLeave(slot int) bool {
+// CanVacate tells whether a slot can be given up: the others that stay must make whole groups.
+func (l *Layout) CanVacate(slot int) bool {
 	staying := 0
 	for i, other := range l.Slots {
 		if i != slot && !other.Vacant && !other.Leaving {
--- a/internal/turns/layout/layout_test.go
+++ b/internal/turns/layout/layout_test.go
@@ -27,7 +27,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLayout(t)
 		for i := range l.Slots {
-			l.Slots[i].Vacant = l.MayLeave(i) && rapid.Bool().Draw(t, "vacant")
+			l.Slots[i].Vacant = l.CanVacate(i) && rapid.Bool().Draw(t, "vacant")
 		}
 		group := l.Group(rapid.String().Draw(t, "program"))
 		assert.Equal(t, len(group), min(2*l.Tolerance+1, l.OccupiedSlots()))
@@ -46,7 +46,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLayout(t)
 		slot := rapid.IntRange(0, len(l.Slots)-1).Draw(t, "slot")
-		if !l.MayLeave(slot) {
+		if !l.CanVacate(slot) {
 			t.Skip("too few slots")
 		}
 		program := rapid.String().Draw(t, "program")
--- a/internal/turns/ledger/losses_test.go
+++ b/internal/turns/ledger/losses_test.go
@@ -105,5 +105,5 @@
 // mayLeave tells whether a holder of a slot can be emptied without a spare.
 func (c *cluster) mayLeave(name string) bool {
 	l := c.current()
-	return l.MayLeave(slices.IndexFunc(l.Slots, func(s layout.Slot) bool { return s.Disk.Node == name }))
+	return l.CanVacate(slices.IndexFunc(l.Slots, func(s layout.Slot) bool { return s.Disk.Node == name }))
 }
--- a/internal/turns/replica/leave.go
+++ b/internal/turns/replica/leave.go
@@ -51,7 +51,7 @@
 	if c.retiringSince.IsZero() {
 		c.retiringSince = time.Now()
 	}
-	if !l.MayLeave(slot) || time.Since(c.retiringSince) < spareTime {
+	if !l.CanVacate(slot) || time.Since(c.retiringSince) < spareTime {
 		return nil
 	}
 	next := l.Clone()
