--- a/internal/turns/layout/layout.go
+++ b/internal/turns/layout/layout.go
@@ -114,8 +114,8 @@
 // budget to be known: any two quorums share a slot.
 func (l *Layout) Quorum() int { return min(l.Tolerance+1, l.OccupiedSlots()) }
 
-// Absence is how many slots of the whole layout must say that they have no such record for it not to exist.
-func (l *Layout) Absence() int { return l.OccupiedSlots() - l.Quorum() + 1 }
+// AbsenceQuorum is how many slots of the whole layout must say that they have no such record for it not to exist.
+func (l *Layout) AbsenceQuorum() int { return l.OccupiedSlots() - l.Quorum() + 1 }
 
 // SlotOf returns the slot that a disk holds, or -1.
 func (l *Layout) SlotOf(disk string) int {
--- a/internal/turns/layout/layout_test.go
+++ b/internal/turns/layout/layout_test.go
@@ -36,7 +36,7 @@
 		}
 		assert.Equal(t, len(slices.Compact(slices.Sorted(slices.Values(group)))), len(group))
 		assert.Assert(t, 2*l.Quorum() > len(group))
-		assert.Assert(t, l.Quorum()+l.Absence() > l.OccupiedSlots())
+		assert.Assert(t, l.Quorum()+l.AbsenceQuorum() > l.OccupiedSlots())
 	})
 }
 
--- a/internal/turns/ledger/chain.go
+++ b/internal/turns/ledger/chain.go
@@ -112,7 +112,7 @@
 			} else if p.reply.Header.Complete {
 				absent++
 			}
-			if absent >= current.Absence() {
+			if absent >= current.AbsenceQuorum() {
 				return nil, ErrTurnNotFound
 			}
 			askNext()
