--- a/internal/turns/layout/layout.go
+++ b/internal/turns/layout/layout.go
@@ -122,8 +122,8 @@
 	return slices.IndexFunc(l.Slots, func(s Slot) bool { return s.Disk.ID == disk })
 }
 
-// SlotJoined returns the slot that a disk is taking over, or -1.
-func (l *Layout) SlotJoined(disk string) int {
+// SlotJoinedBy returns the slot that a disk is taking over, or -1.
+func (l *Layout) SlotJoinedBy(disk string) int {
 	return slices.IndexFunc(l.Slots, func(s Slot) bool { return s.Joining != nil && s.Joining.ID == disk })
 }
 
--- a/internal/turns/replica/controller.go
+++ b/internal/turns/replica/controller.go
@@ -117,7 +117,7 @@
 	if slot := l.SlotOf(self.ID); slot >= 0 {
 		return c.keepOrGiveUp(ctx, l, slot)
 	}
-	if slot := l.SlotJoined(self.ID); slot >= 0 {
+	if slot := l.SlotJoinedBy(self.ID); slot >= 0 {
 		return c.takeOver(ctx, l, slot)
 	}
 	if c.retirements.Retiring(self.Node) {
@@ -178,7 +178,7 @@
 		c.reported = ""
 		return nil
 	}
-	done := l.SlotOf(self.ID) < 0 && l.SlotJoined(self.ID) < 0
+	done := l.SlotOf(self.ID) < 0 && l.SlotJoinedBy(self.ID) < 0
 	state := "running"
 	if done {
 		state = "done"
--- a/internal/turns/replica/service.go
+++ b/internal/turns/replica/service.go
@@ -85,7 +85,7 @@
 	}
 	s.id = id
 	s.log.WithFields(logrus.Fields{"event": "layout", "epoch": l.Epoch,
-		"slot": l.SlotOf(s.self.ID), "joining": l.SlotJoined(s.self.ID)}).Info("layout in force")
+		"slot": l.SlotOf(s.self.ID), "joining": l.SlotJoinedBy(s.self.ID)}).Info("layout in force")
 	return true
 }
 
