--- a/internal/turns/replica/fill.go
+++ b/internal/turns/replica/fill.go
@@ -158,7 +158,7 @@
 func newShortfall(own *index) *shortfall { return &shortfall{own: own, turns: map[string]lacked{}} }
 
 // add notes what a disk has.
-func (s *shortfall) add(from layout.Disk, turns []State) {
+func (s *shortfall) add(from layout.Disk, turns []TurnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range turns {
--- a/internal/turns/replica/fill_test.go
+++ b/internal/turns/replica/fill_test.go
@@ -19,9 +19,9 @@
 	own.add(&here, position(1), time.Now())
 	s := newShortfall(own)
 	a, b, c := layout.Disk{ID: "a"}, layout.Disk{ID: "b"}, layout.Disk{ID: "c"}
-	s.add(a, []State{{"here", turn.Finished}, {"both", turn.Finished}, {"later", turn.Reserved}})
-	s.add(b, []State{{"both", turn.Finished}, {"later", turn.Finished}})
-	s.add(c, []State{{"later", turn.Reserved}})
+	s.add(a, []TurnState{{"here", turn.Finished}, {"both", turn.Finished}, {"later", turn.Reserved}})
+	s.add(b, []TurnState{{"both", turn.Finished}, {"later", turn.Finished}})
+	s.add(c, []TurnState{{"later", turn.Reserved}})
 	assert.DeepEqual(t, s.at(a), []string{"both"})
 	assert.DeepEqual(t, s.at(b), []string{"both", "later"})
 	assert.Equal(t, len(s.at(c)), 0)
--- a/internal/turns/replica/index.go
+++ b/internal/turns/replica/index.go
@@ -172,7 +172,7 @@
 
 // held is a turn that the index knows, with its program.
 type held struct {
-	State
+	TurnState
 	program  string
 	position turnlog.Position
 }
@@ -183,7 +183,7 @@
 	defer x.mu.Unlock()
 	list := make([]held, 0, len(x.turns))
 	for _, e := range x.turns {
-		list = append(list, held{State{e.id, e.state}, e.program.name, e.position})
+		list = append(list, held{TurnState{e.id, e.state}, e.program.name, e.position})
 	}
 	return list
 }
--- a/internal/turns/replica/leave.go
+++ b/internal/turns/replica/leave.go
@@ -123,7 +123,7 @@
 		wanted = wanted[len(page):]
 		args := &LackedArgs{Target: target}
 		for _, i := range page {
-			args.Turns = append(args.Turns, records[i].State)
+			args.Turns = append(args.Turns, records[i].TurnState)
 		}
 		askCtx, cancel := context.WithTimeout(ctx, lackedTimeout)
 		reply, err := peerlink.Call[LackedReply](askCtx, link, ServiceName+".Lacked", args)
--- a/internal/turns/replica/messages.go
+++ b/internal/turns/replica/messages.go
@@ -94,7 +94,7 @@
 // ExportReply is a page. Last is the place to go on from; Done tells that nothing is left.
 type ExportReply struct {
 	Header Header
-	Turns  []State
+	Turns  []TurnState
 	Last   uint64
 	Done   bool
 }
@@ -113,8 +113,8 @@
 	Next    int
 }
 
-// State is how far a turn has come on a disk.
-type State struct {
+// TurnState is how far a turn has come on a disk.
+type TurnState struct {
 	ID    string
 	State turn.State
 }
@@ -122,7 +122,7 @@
 // LackedArgs ask which of some turns a disk does not hold, at least as far as given.
 type LackedArgs struct {
 	Target Target
-	Turns  []State
+	Turns  []TurnState
 }
 
 // LackedReply holds the places of those turns in the question.
--- a/internal/turns/replica/service.go
+++ b/internal/turns/replica/service.go
@@ -217,7 +217,7 @@
 	})
 	reply.Last = args.After
 	for _, l := range found {
-		reply.Turns = append(reply.Turns, State{ID: l.id, State: l.state})
+		reply.Turns = append(reply.Turns, TurnState{ID: l.id, State: l.state})
 		reply.Last = l.sequence
 	}
 	reply.Done = len(found) < exportTurns
--- a/internal/turns/replica/service_test.go
+++ b/internal/turns/replica/service_test.go
@@ -63,7 +63,7 @@
 	var page ExportReply
 	assert.NilError(t, NewService(s).Export(&ExportArgs{Layout: *next, Slot: 0, From: self.ID}, &page))
 	assert.Equal(t, page.Header.Status, OK)
-	assert.DeepEqual(t, page.Turns, []State{{ID: "t1", State: turn.Finished}})
+	assert.DeepEqual(t, page.Turns, []TurnState{{ID: "t1", State: turn.Finished}})
 	assert.Assert(t, page.Done)
 	refused := write(t, s, self.ID, 4, turnRecord("t2", "t1"))
 	assert.Equal(t, refused.Header.Status, StaleLayout)
