--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -68,14 +68,14 @@
 
 // StoreStatus is what a store daemon believes. Turns are those of the program asked for.
 type StoreStatus struct {
-	Node     string          `json:"node"`
-	Disk     string          `json:"disk"`
-	Slot     int             `json:"slot"`
-	Programs int             `json:"programs"`
-	Kept     int             `json:"turns"`
-	Bytes    int64           `json:"bytes"`
-	Layout   *layout.Layout  `json:"layout"`
-	Turns    []replica.Entry `json:"program_turns,omitempty"`
+	Node     string                `json:"node"`
+	Disk     string                `json:"disk"`
+	Slot     int                   `json:"slot"`
+	Programs int                   `json:"programs"`
+	Kept     int                   `json:"turns"`
+	Bytes    int64                 `json:"bytes"`
+	Layout   *layout.Layout        `json:"layout"`
+	Turns    []replica.BudgetEntry `json:"program_turns,omitempty"`
 	// Limits are the organisations whose requests are counted here.
 	Limits []quota.Count `json:"limits"`
 }
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -201,7 +201,7 @@
 	open   map[int]int
 	held   int
 	quorum int
-	known  map[string]replica.Entry
+	known  map[string]replica.BudgetEntry
 	places []turn.CachedPrompt
 	aim    time.Duration
 }
@@ -213,7 +213,7 @@
 // calls go on after the round has been left.
 func (l *Ledger) send(ctx context.Context, current *layout.Layout, record *turn.Record, account bool) *round {
 	group := l.nearestFirst(current, current.Group(record.Program))
-	r := &round{answers: make(chan ack, 2*len(group)), open: map[int]int{}, quorum: current.Quorum(), known: map[string]replica.Entry{}}
+	r := &round{answers: make(chan ack, 2*len(group)), open: map[int]int{}, quorum: current.Quorum(), known: map[string]replica.BudgetEntry{}}
 	ask := func(slot int, disk layout.Disk) {
 		r.sent++
 		r.open[slot]++
@@ -364,7 +364,7 @@
 )
 
 // merge adds an entry to those known; a later state of a turn wins.
-func merge(known map[string]replica.Entry, e replica.Entry) {
+func merge(known map[string]replica.BudgetEntry, e replica.BudgetEntry) {
 	if e.State > known[e.ID].State {
 		known[e.ID] = e
 	}
--- a/internal/turns/replica/index.go
+++ b/internal/turns/replica/index.go
@@ -91,16 +91,16 @@
 }
 
 // entries returns a program's turns.
-func (x *index) entries(name string) []Entry {
+func (x *index) entries(name string) []BudgetEntry {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	p := x.programs[name]
 	if p == nil {
 		return nil
 	}
-	list := make([]Entry, len(p.turns))
+	list := make([]BudgetEntry, len(p.turns))
 	for i, e := range p.turns {
-		list[i] = Entry{ID: e.id, State: e.state, Tokens: e.tokens}
+		list[i] = BudgetEntry{ID: e.id, State: e.state, Tokens: e.tokens}
 	}
 	return list
 }
--- a/internal/turns/replica/messages.go
+++ b/internal/turns/replica/messages.go
@@ -41,8 +41,8 @@
 	Layout   *layout.Layout
 }
 
-// Entry is one turn of a program as the budget sees it.
-type Entry struct {
+// BudgetEntry is one turn of a program as the budget sees it.
+type BudgetEntry struct {
 	ID    string
 	State turn.State
 	// Tokens is what the turn counts: nothing once it is void.
@@ -61,7 +61,7 @@
 // WriteReply tells that the record is on the disk.
 type WriteReply struct {
 	Header  Header
-	Entries []Entry
+	Entries []BudgetEntry
 	Places  []turn.CachedPrompt
 	// Aim is the time that the program was given at most by any of its turns; it comes with Places.
 	Aim time.Duration
--- a/internal/turns/replica/service.go
+++ b/internal/turns/replica/service.go
@@ -282,4 +282,4 @@
 func (s *Store) Bytes() int64 { return s.files.Bytes() }
 
 // Turns returns a program's turns.
-func (s *Store) Turns(program string) []Entry { return s.index.entries(program) }
+func (s *Store) Turns(program string) []BudgetEntry { return s.index.entries(program) }
--- a/internal/turns/replica/service_test.go
+++ b/internal/turns/replica/service_test.go
@@ -115,7 +115,7 @@
 	write(t, s, self.ID, 1, turnRecord("t", ""))
 	write(t, s, self.ID, 1, reservation)
 	reply := write(t, s, self.ID, 1, turnRecord("t", ""))
-	assert.DeepEqual(t, reply.Entries, []Entry{{ID: "t", State: turn.Finished, Tokens: 3}})
+	assert.DeepEqual(t, reply.Entries, []BudgetEntry{{ID: "t", State: turn.Finished, Tokens: 3}})
 }
 
 func TestExportOnlyHoldsTheSlotsPrograms(t *testing.T) {
