--- a/internal/turns/replica/controller.go
+++ b/internal/turns/replica/controller.go
@@ -90,7 +90,7 @@
 		c.version = object.Version
 	}
 	c.mu.Unlock()
-	c.store.Learn(l)
+	c.store.UpdateLayout(l)
 }
 
 // Run keeps the disk's place until ctx ends.
--- a/internal/turns/replica/fill_test.go
+++ b/internal/turns/replica/fill_test.go
@@ -34,7 +34,7 @@
 func TestPulledInPages(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	self := s.Self()
-	s.Learn(formed(1, append(others(), self)...))
+	s.UpdateLayout(formed(1, append(others(), self)...))
 	var ids []string
 	for i := range 20 {
 		r := turnRecord(fmt.Sprint("t", i), "")
--- a/internal/turns/replica/service.go
+++ b/internal/turns/replica/service.go
@@ -70,8 +70,8 @@
 	return s.id.Layout
 }
 
-// Learn takes a layout over if it is newer than the one known. It reports whether it was.
-func (s *Store) Learn(l *layout.Layout) bool {
+// UpdateLayout takes a layout over if it is newer than the one known. It reports whether it was.
+func (s *Store) UpdateLayout(l *layout.Layout) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.id.Layout != nil && s.id.Layout.Epoch >= l.Epoch {
@@ -194,7 +194,7 @@
 // take-over: a record that is acknowledged later went to the new disk as well.
 func (v *Service) Export(args *ExportArgs, reply *ExportReply) error {
 	s := v.store
-	s.Learn(&args.Layout)
+	s.UpdateLayout(&args.Layout)
 	if err := s.fence(args.Layout.Epoch); err != nil {
 		s.log.WithFields(logrus.Fields{"event": "identity-failed", "error": err}).Error("fence not saved")
 		reply.Header.Status = Failed
--- a/internal/turns/replica/service_test.go
+++ b/internal/turns/replica/service_test.go
@@ -56,7 +56,7 @@
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	self := s.Self()
-	s.Learn(formed(4, append(others(), self)...))
+	s.UpdateLayout(formed(4, append(others(), self)...))
 	assert.Equal(t, write(t, s, self.ID, 4, turnRecord("t1", "")).Header.Status, OK)
 	next := formed(5, append(others(), self)...)
 	next.Slots[0].Joining = &layout.Disk{ID: "d", Node: "d"}
@@ -90,7 +90,7 @@
 	s := openStore(t, t.TempDir())
 	self := s.Self()
 	complete := func(l *layout.Layout) bool {
-		s.Learn(l)
+		s.UpdateLayout(l)
 		var reply FetchReply
 		assert.NilError(t, NewService(s).Fetch(&FetchArgs{Target: Target{Disk: self.ID, Epoch: l.Epoch}, ID: "none"}, &reply))
 		assert.Equal(t, reply.Missing, "none")
@@ -109,7 +109,7 @@
 func TestWritesAreIdempotentAndStatesOnlyRise(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	self := s.Self()
-	s.Learn(formed(1, append(others(), self)...))
+	s.UpdateLayout(formed(1, append(others(), self)...))
 	reservation := turn.Record{State: turn.Reserved, ID: "t", Program: "p", Tokens: 50, Retention: time.Minute}
 	write(t, s, self.ID, 1, reservation)
 	write(t, s, self.ID, 1, turnRecord("t", ""))
@@ -123,7 +123,7 @@
 	self := s.Self()
 	disks := append(others(), self, layout.Disk{ID: "e", Node: "e", DataCentre: "e"})
 	l := formed(1, disks...)
-	s.Learn(l)
+	s.UpdateLayout(l)
 	wanted := 0
 	for i := range 40 {
 		r := turnRecord(string(rune('A'+i)), "")
