--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -89,7 +89,7 @@
 	if s.Evacuation > 0 {
 		evacuations = append(evacuations, mirror.New(platform.EvacuationsPrefix, evacuationWait+answerSlack))
 	}
-	layouts := &handler{prefix: layoutPrefix, apply: controller.Observe}
+	layouts := &handler{prefix: layoutPrefix, apply: controller.ObserveLayout}
 	source := feed.New(b.readers(store), feed.Named{Name: "platform", Source: single{b.store}}, b.log).WithMirrorWait(followWait)
 	link := watch.NewLink(source)
 	layoutWatcher := b.watcher(link, rareWait, both{mirrors[2], layouts})
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -194,10 +194,10 @@
 func (o observer) Prefix() string { return "rookpass-layout/" }
 func (o observer) Reset(objects []objectapi.Object, _ uint64) {
 	for _, object := range objects {
-		o.controller.Observe(object)
+		o.controller.ObserveLayout(object)
 	}
 }
-func (o observer) Change(event objectapi.Event) { o.controller.Observe(event.Object) }
+func (o observer) Change(event objectapi.Event) { o.controller.ObserveLayout(event.Object) }
 func (o observer) Confirm(uint64, time.Time)    {}
 func (o observer) Lost()                        {}
 
--- a/internal/turns/replica/controller.go
+++ b/internal/turns/replica/controller.go
@@ -78,8 +78,8 @@
 		firstStart: o.FirstStart, tolerance: o.Tolerance, diskBytes: o.DiskBytes, silentSince: map[string]time.Time{}}
 }
 
-// Observe takes the layout's object over from a watch.
-func (c *Controller) Observe(object objectapi.Object) {
+// ObserveLayout takes the layout's object over from a watch.
+func (c *Controller) ObserveLayout(object objectapi.Object) {
 	l, err := layout.Decode(object.Value)
 	if err != nil {
 		c.log.WithFields(logrus.Fields{"event": "layout-malformed", "version": object.Version, "error": err}).Error("layout not read")
@@ -157,13 +157,13 @@
 	c.mu.Unlock()
 	object, err := c.api.Put(ctx, c.key, value, version)
 	if err == nil {
-		c.Observe(object)
+		c.ObserveLayout(object)
 		return nil
 	}
 	// A conflict or a lost answer: what stands there now decides the next step.
 	current, readErr := c.api.Get(ctx, c.key)
 	if readErr == nil {
-		c.Observe(current)
+		c.ObserveLayout(current)
 	}
 	if errors.Is(err, objectapi.ErrConflict) {
 		return nil
