--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -94,7 +94,7 @@
 	store, err := replica.OpenStore(c.folder(name), layout.Disk{Node: name, Address: name + ":1", DataCentre: name}, c.log.WithField("node", name))
 	assert.NilError(c.t, err)
 	controller := replica.NewController(replica.Options{Store: store, API: c.api, Links: peerlink.NewSet(dial), Retirements: retirements{c},
-		Log: c.log.WithField("node", name), LayoutKey: layoutKey, Candidates: "rookpass-disks/", FirstStart: first, Tolerance: c.tolerance})
+		Log: c.log.WithField("node", name), LayoutKey: layoutKey, CandidatesPrefix: "rookpass-disks/", FirstStart: first, Tolerance: c.tolerance})
 	listener, err := c.fabric.Listen(name, name+":1")
 	assert.NilError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
