--- a/internal/turns/replica/fill.go
+++ b/internal/turns/replica/fill.go
@@ -205,7 +205,7 @@
 
 // writeAll makes records durable with as few syncs as come, and returns how many were new here.
 func (s *Store) writeAll(records []turn.Record) (int, error) {
-	var tickets []turnlog.Ticket
+	var tickets []turnlog.PendingAppend
 	var added []int
 	for i := range records {
 		if record := &records[i]; !s.index.has(record.ID, record.State) {
--- a/internal/turns/turnlog/turnlog.go
+++ b/internal/turns/turnlog/turnlog.go
@@ -194,22 +194,22 @@
 	return file, nil
 }
 
-// Ticket is an append that has its place and waits for the disk. Done must be called once its caller has taken
+// PendingAppend is an append that has its place and waits for the disk. Done must be called once its caller has taken
 // the place down, or given up.
-type Ticket struct {
+type PendingAppend struct {
 	Position Position
 	log      *Log
 	batch    *batch
 }
 
 // Wait returns once the record is on the disk.
-func (t Ticket) Wait() error {
+func (t PendingAppend) Wait() error {
 	<-t.batch.ready
 	return t.batch.err
 }
 
 // Done lets the record's file be removed: until then nobody else may know that the record is there.
-func (t Ticket) Done() {
+func (t PendingAppend) Done() {
 	t.log.mu.Lock()
 	defer t.log.mu.Unlock()
 	if t.log.unsettled[t.Position.Segment]--; t.log.unsettled[t.Position.Segment] <= 0 {
@@ -218,13 +218,13 @@
 }
 
 // Append gives a record its place. It is durable once the ticket's Wait returns nil.
-func (l *Log) Append(record *turn.Record) Ticket {
+func (l *Log) Append(record *turn.Record) PendingAppend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.pending
 	l.unsettled[b.segment]++
 	if l.closed {
-		return Ticket{Position: Position{Segment: b.segment}, log: l, batch: b}
+		return PendingAppend{Position: Position{Segment: b.segment}, log: l, batch: b}
 	}
 	start := len(b.data)
 	b.data = append(b.data, make([]byte, headerBytes)...)
@@ -237,7 +237,7 @@
 	case l.wake <- struct{}{}:
 	default:
 	}
-	return Ticket{Position: position, log: l, batch: b}
+	return PendingAppend{Position: position, log: l, batch: b}
 }
 
 // commit writes what is pending, again and again. After a failure nothing more is taken: what the disk holds is
--- a/internal/turns/turnlog/turnlog_test.go
+++ b/internal/turns/turnlog/turnlog_test.go
@@ -111,7 +111,7 @@
 	big := record("big")
 	big.Input = make([]byte, 1<<20)
 	const appends = 40
-	var waiting []turnlog.Ticket
+	var waiting []turnlog.PendingAppend
 	for range appends {
 		waiting = append(waiting, l.Append(&big))
 		if len(waiting) < 4 {
