--- a/internal/turns/replica/clean.go
+++ b/internal/turns/replica/clean.go
@@ -53,7 +53,7 @@
 // moveForward copies a record to the active file.
 func (s *Store) moveForward(record *turn.Record, from turnlog.Position) error {
 	ticket := s.files.Append(record)
-	defer ticket.Done()
+	defer ticket.Release()
 	if err := ticket.Wait(); err != nil {
 		return err
 	}
--- a/internal/turns/replica/fill.go
+++ b/internal/turns/replica/fill.go
@@ -215,7 +215,7 @@
 	}
 	defer func() {
 		for _, ticket := range tickets {
-			ticket.Done()
+			ticket.Release()
 		}
 	}()
 	for k, ticket := range tickets {
--- a/internal/turns/replica/service.go
+++ b/internal/turns/replica/service.go
@@ -129,7 +129,7 @@
 		return nil
 	}
 	ticket := s.files.Append(r)
-	defer ticket.Done()
+	defer ticket.Release()
 	if err := ticket.Wait(); err != nil {
 		return err
 	}
--- a/internal/turns/turnlog/turnlog.go
+++ b/internal/turns/turnlog/turnlog.go
@@ -208,8 +208,8 @@
 	return t.batch.err
 }
 
-// Done lets the record's file be removed: until then nobody else may know that the record is there.
-func (t PendingAppend) Done() {
+// Release lets the record's file be removed: until then nobody else may know that the record is there.
+func (t PendingAppend) Release() {
 	t.log.mu.Lock()
 	defer t.log.mu.Unlock()
 	if t.log.unsettled[t.Position.Segment]--; t.log.unsettled[t.Position.Segment] <= 0 {
--- a/internal/turns/turnlog/turnlog_test.go
+++ b/internal/turns/turnlog/turnlog_test.go
@@ -94,7 +94,7 @@
 	for range 4 {
 		ticket := l.Append(&big)
 		assert.NilError(t, ticket.Wait())
-		ticket.Done()
+		ticket.Release()
 	}
 	first, active := uint32(1), l.Active()
 	assert.Assert(t, active > first)
@@ -143,7 +143,7 @@
 	assert.NilError(t, ticket.Wait())
 	assert.Assert(t, l.Active() > ticket.Position.Segment)
 	assert.ErrorIs(t, l.Remove(ticket.Position.Segment), turnlog.ErrInUse)
-	ticket.Done()
+	ticket.Release()
 	assert.NilError(t, l.Remove(ticket.Position.Segment))
 }
 
