--- a/internal/turns/replica/clean.go
+++ b/internal/turns/replica/clean.go
@@ -24,7 +24,7 @@
 	}
 	c.cleaned = now
 	s := c.store
-	for _, segment := range s.index.expire(now, s.files.Active()) {
+	for _, segment := range s.index.expire(now, s.files.ActiveSegment()) {
 		err := s.files.Remove(segment)
 		if errors.Is(err, turnlog.ErrInUse) {
 			s.index.keep(segment) // looked at again next time
@@ -37,7 +37,7 @@
 	if c.diskBytes == 0 || float64(s.files.Bytes()) < fullShare*float64(c.diskBytes) {
 		return
 	}
-	for _, position := range s.index.oldest(s.files.Active()) {
+	for _, position := range s.index.oldest(s.files.ActiveSegment()) {
 		record, err := s.files.Read(position)
 		if err != nil {
 			c.log.WithFields(logrus.Fields{"event": "read-failed", "error": err}).Error("disk read failed")
--- a/internal/turns/turnlog/turnlog.go
+++ b/internal/turns/turnlog/turnlog.go
@@ -306,8 +306,8 @@
 	return l.pacer.syncs.Load(), time.Duration(l.pacer.busy.Load())
 }
 
-// Active returns the file that appends go to.
-func (l *Log) Active() uint32 {
+// ActiveSegment returns the file that appends go to.
+func (l *Log) ActiveSegment() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.pending.segment
--- a/internal/turns/turnlog/turnlog_test.go
+++ b/internal/turns/turnlog/turnlog_test.go
@@ -96,7 +96,7 @@
 		assert.NilError(t, ticket.Wait())
 		ticket.Release()
 	}
-	first, active := uint32(1), l.Active()
+	first, active := uint32(1), l.ActiveSegment()
 	assert.Assert(t, active > first)
 	assert.NilError(t, l.Remove(first))
 	assert.ErrorIs(t, l.Remove(active), turnlog.ErrInUse)
@@ -126,7 +126,7 @@
 	for _, ticket := range waiting {
 		assert.NilError(t, ticket.Wait())
 	}
-	assert.Assert(t, l.Active() >= 4, "active file %d", l.Active())
+	assert.Assert(t, l.ActiveSegment() >= 4, "active file %d", l.ActiveSegment())
 	assert.NilError(t, l.Close())
 	l, found := open(t, dir)
 	assert.Equal(t, len(found), appends)
@@ -141,7 +141,7 @@
 	big.Input = make([]byte, 9<<20)
 	ticket := l.Append(&big)
 	assert.NilError(t, ticket.Wait())
-	assert.Assert(t, l.Active() > ticket.Position.Segment)
+	assert.Assert(t, l.ActiveSegment() > ticket.Position.Segment)
 	assert.ErrorIs(t, l.Remove(ticket.Position.Segment), turnlog.ErrInUse)
 	ticket.Release()
 	assert.NilError(t, l.Remove(ticket.Position.Segment))
