--- a/internal/turns/replica/clean.go
+++ b/internal/turns/replica/clean.go
@@ -25,7 +25,7 @@
 	c.cleaned = now
 	s := c.store
 	for _, segment := range s.index.expire(now, s.files.ActiveSegment()) {
-		err := s.files.Remove(segment)
+		err := s.files.RemoveSegment(segment)
 		if errors.Is(err, turnlog.ErrInUse) {
 			s.index.keep(segment) // looked at again next time
 			continue
--- a/internal/turns/turnlog/turnlog.go
+++ b/internal/turns/turnlog/turnlog.go
@@ -313,8 +313,8 @@
 	return l.pending.segment
 }
 
-// Remove deletes a file. ErrInUse means that it can't be removed now.
-func (l *Log) Remove(segment uint32) error {
+// RemoveSegment deletes a file. ErrInUse means that it can't be removed now.
+func (l *Log) RemoveSegment(segment uint32) error {
 	l.mu.Lock()
 	file := l.files[segment]
 	if segment == l.pending.segment || l.unsettled[segment] > 0 {
--- a/internal/turns/turnlog/turnlog_test.go
+++ b/internal/turns/turnlog/turnlog_test.go
@@ -98,8 +98,8 @@
 	}
 	first, active := uint32(1), l.ActiveSegment()
 	assert.Assert(t, active > first)
-	assert.NilError(t, l.Remove(first))
-	assert.ErrorIs(t, l.Remove(active), turnlog.ErrInUse)
+	assert.NilError(t, l.RemoveSegment(first))
+	assert.ErrorIs(t, l.RemoveSegment(active), turnlog.ErrInUse)
 	assert.Assert(t, l.Bytes() < 8<<20)
 	assert.NilError(t, l.Close())
 }
@@ -142,9 +142,9 @@
 	ticket := l.Append(&big)
 	assert.NilError(t, ticket.Wait())
 	assert.Assert(t, l.ActiveSegment() > ticket.Position.Segment)
-	assert.ErrorIs(t, l.Remove(ticket.Position.Segment), turnlog.ErrInUse)
+	assert.ErrorIs(t, l.RemoveSegment(ticket.Position.Segment), turnlog.ErrInUse)
 	ticket.Release()
-	assert.NilError(t, l.Remove(ticket.Position.Segment))
+	assert.NilError(t, l.RemoveSegment(ticket.Position.Segment))
 }
 
 // TestEmptyFilesGo: a process that wrote nothing leaves nothing behind.
