--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -68,14 +68,14 @@
 
 // StoreStatus is what a store daemon believes. Turns are those of the program asked for.
 type StoreStatus struct {
-	Node     string                `json:"node"`
-	Disk     string                `json:"disk"`
-	Slot     int                   `json:"slot"`
-	Programs int                   `json:"programs"`
-	Kept     int                   `json:"turns"`
-	Bytes    int64                 `json:"bytes"`
-	Layout   *layout.Layout        `json:"layout"`
-	Turns    []replica.BudgetEntry `json:"program_turns,omitempty"`
+	Node      string                `json:"node"`
+	Disk      string                `json:"disk"`
+	Slot      int                   `json:"slot"`
+	Programs  int                   `json:"programs"`
+	TurnCount int                   `json:"turns"`
+	Bytes     int64                 `json:"bytes"`
+	Layout    *layout.Layout        `json:"layout"`
+	Turns     []replica.BudgetEntry `json:"program_turns,omitempty"`
 	// Limits are the organisations whose requests are counted here.
 	Limits []quota.Count `json:"limits"`
 }
@@ -104,7 +104,7 @@
 func storeStatus(node string, store *replica.Store, quotas *quota.Service) func(*http.Request) any {
 	return func(r *http.Request) any {
 		s := StoreStatus{Node: node, Disk: store.Self().ID, Slot: -1, Bytes: store.Bytes(), Layout: store.Layout(), Limits: quotas.Counts()}
-		s.Programs, s.Kept = store.Size()
+		s.Programs, s.TurnCount = store.Size()
 		if s.Layout != nil {
 			s.Slot = s.Layout.SlotOf(s.Disk)
 		}
