--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -68,14 +68,14 @@
 
 // StoreStatus is what a store daemon believes. Turns are those of the program asked for.
 type StoreStatus struct {
-	Node      string                `json:"node"`
-	Disk      string                `json:"disk"`
-	Slot      int                   `json:"slot"`
-	Programs  int                   `json:"programs"`
-	TurnCount int                   `json:"turns"`
-	Bytes     int64                 `json:"bytes"`
-	Layout    *layout.Layout        `json:"layout"`
-	Turns     []replica.BudgetEntry `json:"program_turns,omitempty"`
+	Node         string                `json:"node"`
+	Disk         string                `json:"disk"`
+	Slot         int                   `json:"slot"`
+	Programs     int                   `json:"programs"`
+	TurnCount    int                   `json:"turns"`
+	Bytes        int64                 `json:"bytes"`
+	Layout       *layout.Layout        `json:"layout"`
+	ProgramTurns []replica.BudgetEntry `json:"program_turns,omitempty"`
 	// Limits are the organisations whose requests are counted here.
 	Limits []quota.Count `json:"limits"`
 }
@@ -109,7 +109,7 @@
 			s.Slot = s.Layout.SlotOf(s.Disk)
 		}
 		if program := r.URL.Query().Get("program"); program != "" {
-			s.Turns = store.Turns(turn.Key(r.URL.Query().Get("organisation"), program))
+			s.ProgramTurns = store.Turns(turn.Key(r.URL.Query().Get("organisation"), program))
 		}
 		return s
 	}
