--- a/internal/turns/replica/controller.go
+++ b/internal/turns/replica/controller.go
@@ -60,8 +60,8 @@
 	Links       *peerlink.Set
 	Retirements Retirements
 	Log         logrus.FieldLogger
-	// Place is where this daemon stands.
-	Place place.Map
+	// Topology is where this daemon stands.
+	Topology place.Map
 	// LayoutKey is the layout's object. CandidatesPrefix is the prefix of the objects by which the first disks enter themselves.
 	LayoutKey, CandidatesPrefix string
 	// FirstStart tells that the system starts with empty disks.
@@ -74,7 +74,7 @@
 
 // NewController returns the controller of a store.
 func NewController(o Options) *Controller {
-	return &Controller{store: o.Store, api: o.API, links: o.Links, place: o.Place, retirements: o.Retirements, log: o.Log, key: o.LayoutKey, candidates: o.CandidatesPrefix,
+	return &Controller{store: o.Store, api: o.API, links: o.Links, place: o.Topology, retirements: o.Retirements, log: o.Log, key: o.LayoutKey, candidates: o.CandidatesPrefix,
 		firstStart: o.FirstStart, tolerance: o.Tolerance, diskBytes: o.DiskBytes, silentSince: map[string]time.Time{}}
 }
 
