--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -48,7 +48,7 @@
 
 // try sends the request to one chosen server. It returns an answer that the server signed, or a failure.
 // NotRun answers are failures too. A stream goes on behind lastEvent.
-func (x *exchange) try(ctx context.Context, choice *balance.Choice, body [][]byte, lastEvent string) (*upstream.Answer, *upstream.Failure) {
+func (x *exchange) try(ctx context.Context, choice *balance.Choice, body [][]byte, lastEvent string) (*upstream.Response, *upstream.Failure) {
 	header := maps.Clone(x.header)
 	x.g.dialect.Address(header, x.address(choice.Server.ID.Server, lastEvent))
 	request := &upstream.Request{
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -41,7 +41,7 @@
 
 // Sender sends one request to one server.
 type Sender interface {
-	Do(ctx context.Context, to upstream.Endpoint, limit int, r *upstream.Request) (*upstream.Answer, *upstream.Failure)
+	Do(ctx context.Context, to upstream.Endpoint, limit int, r *upstream.Request) (*upstream.Response, *upstream.Failure)
 	// HasIdle tells whether a connection rests that a request may use, one that may run more than once or one that must not.
 	HasIdle(to upstream.Endpoint, repeatable bool) bool
 }
--- a/internal/front/gateway/plain.go
+++ b/internal/front/gateway/plain.go
@@ -68,7 +68,7 @@
 type try struct {
 	choice  *balance.Choice
 	began   time.Time
-	answer  *upstream.Answer
+	answer  *upstream.Response
 	head    []byte
 	more    bool
 	failure *upstream.Failure
@@ -202,7 +202,7 @@
 }
 
 // begin passes an answer's status and headers on. length is the body's, unless there is more than was read.
-func (x *exchange) begin(answer *upstream.Answer, length int, more bool) {
+func (x *exchange) begin(answer *upstream.Response, length int, more bool) {
 	h := x.w.Header()
 	for name, values := range answer.Header {
 		switch name {
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -80,7 +80,7 @@
 type streamTry struct {
 	choice *balance.Choice
 	began  time.Time
-	answer *upstream.Answer
+	answer *upstream.Response
 	ctx    context.Context
 	cancel context.CancelFunc
 }
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -73,7 +73,7 @@
 func (p *Pool) Reused() int64 { return p.reused.Load() }
 
 // Do sends a request to a server and returns the head of its answer. limit bounds the connections to it; 0 means none.
-func (p *Pool) Do(ctx context.Context, to Endpoint, limit int, r *Request) (*Answer, *Failure) {
+func (p *Pool) Do(ctx context.Context, to Endpoint, limit int, r *Request) (*Response, *Failure) {
 	c, failure := p.take(ctx, to, limit, r.Repeatable)
 	if failure != nil {
 		return nil, failure
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -51,9 +51,9 @@
 	return n
 }
 
-// Answer is a server's answer whose body is still to be read. Body ends with io.EOF only where the answer is
+// Response is a server's answer whose body is still to be read. Body ends with io.EOF only where the answer is
 // whole. Close must be called.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Reply  call.Reply
@@ -68,7 +68,7 @@
 }
 
 // Close releases the connection; it is kept only if the answer was read to its end.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.close != nil {
 		a.close(a.whole)
 		a.close = nil
@@ -115,10 +115,10 @@
 
 // exchange sends a request on a connection and reads the head of its answer. The connection is closed when
 // ctx ends, so that the server learns that nobody waits.
-func exchange(ctx context.Context, c *conn, r *Request, dialect call.Dialect) (*Answer, *Failure) {
+func exchange(ctx context.Context, c *conn, r *Request, dialect call.Dialect) (*Response, *Failure) {
 	reused := c.used
 	c.used = true
-	fail := func(v verdict.Verdict, reason string, err error) (*Answer, *Failure) {
+	fail := func(v verdict.Verdict, reason string, err error) (*Response, *Failure) {
 		_ = c.Close()
 		switch {
 		case errors.Is(context.Cause(ctx), context.DeadlineExceeded), errors.Is(err, os.ErrDeadlineExceeded):
@@ -160,7 +160,7 @@
 		}
 		return fail(verdict.MayHaveRun, reason, err)
 	}
-	answer := &Answer{Status: resp.StatusCode, Header: resp.Header, Reply: reply, Length: resp.ContentLength, conn: c, resp: resp}
+	answer := &Response{Status: resp.StatusCode, Header: resp.Header, Reply: reply, Length: resp.ContentLength, conn: c, resp: resp}
 	answer.Body = &wholeReader{answer: answer}
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	keep := framed && !resp.Close && writeDone && writeErr == nil
@@ -213,7 +213,7 @@
 }
 
 // wholeReader notes when a body has been read to its end.
-type wholeReader struct{ answer *Answer }
+type wholeReader struct{ answer *Response }
 
 func (w *wholeReader) Read(p []byte) (int, error) {
 	n, err := w.answer.resp.Body.Read(p)
