--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -57,7 +57,7 @@
 	balancer *balance.Balancer
 	sender   Sender
 	ledger   Ledger
-	dialect  call.Dialect
+	dialect  call.HeaderCodec
 	log      logrus.FieldLogger
 	stats    *Stats
 	// bodies are the bytes that bodies of requests may hold together.
@@ -76,7 +76,7 @@
 	Balancer    *balance.Balancer
 	Sender      Sender
 	Ledger      Ledger
-	HeaderCodec call.Dialect
+	HeaderCodec call.HeaderCodec
 	Log         logrus.FieldLogger
 	Stats       *Stats
 	// Scheduler decides which turns go to model servers when.
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -73,8 +73,8 @@
 	KeepAlive time.Duration
 }
 
-// Dialect reads and writes the headers of one wire format.
-type Dialect interface {
+// HeaderCodec reads and writes the headers of one wire format.
+type HeaderCodec interface {
 	// Info decodes a caller's request.
 	Info(header http.Header) (Info, error)
 	// Outgoing returns the headers that go along to a server: not those of one connection, nor those that
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -36,7 +36,7 @@
 // Pool keeps connections to servers, by endpoint.
 type Pool struct {
 	dial    network.DialContext
-	dialect call.Dialect
+	dialect call.HeaderCodec
 	// most bounds the connections to all servers.
 	most int
 
@@ -59,7 +59,7 @@
 }
 
 // NewPool returns an empty pool of at most so many connections.
-func NewPool(dial network.DialContext, dialect call.Dialect, most int) *Pool {
+func NewPool(dial network.DialContext, dialect call.HeaderCodec, most int) *Pool {
 	return &Pool{dial: dial, dialect: dialect, most: most, hosts: map[Endpoint]*host{}}
 }
 
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -115,7 +115,7 @@
 
 // exchange sends a request on a connection and reads the head of its answer. The connection is closed when
 // ctx ends, so that the server learns that nobody waits.
-func exchange(ctx context.Context, c *conn, r *Request, dialect call.Dialect) (*Response, *Failure) {
+func exchange(ctx context.Context, c *conn, r *Request, dialect call.HeaderCodec) (*Response, *Failure) {
 	reused := c.used
 	c.used = true
 	fail := func(v verdict.Verdict, reason string, err error) (*Response, *Failure) {
@@ -185,7 +185,7 @@
 
 // readHead reads answers until one names the request: an answer of an earlier request on the connection may
 // still come.
-func readHead(c *conn, r *Request, dialect call.Dialect) (*http.Response, call.Reply, error) {
+func readHead(c *conn, r *Request, dialect call.HeaderCodec) (*http.Response, call.Reply, error) {
 	asked := &http.Request{Method: r.Method}
 	for range maxStrayAnswers {
 		resp, err := http.ReadResponse(c.reader, asked)
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -21,7 +21,7 @@
 )
 
 // dialect is the least that a pool needs: the header Id names the request.
-type dialect struct{ call.Dialect }
+type dialect struct{ call.HeaderCodec }
 
 func (dialect) Reply(h http.Header, _ int) call.Reply {
 	return call.Reply{ID: h.Get("Id"), Sealed: h.Get("Seal") != ""}
