--- a/internal/front/gateway/steps.go
+++ b/internal/front/gateway/steps.go
@@ -26,7 +26,7 @@
 
 // withCallInfo decodes what the request says of itself.
 func withCallInfo(x *exchange) *refusal {
-	info, err := x.g.dialect.Info(x.r.Header)
+	info, err := x.g.dialect.DecodeRequest(x.r.Header)
 	x.info = info
 	if err != nil {
 		return &refusal{status: http.StatusBadRequest, reason: "malformed-header", err: err}
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -75,8 +75,8 @@
 
 // HeaderCodec reads and writes the headers of one wire format.
 type HeaderCodec interface {
-	// Info decodes a caller's request.
-	Info(header http.Header) (Info, error)
+	// DecodeRequest decodes a caller's request.
+	DecodeRequest(header http.Header) (Info, error)
 	// Outgoing returns the headers that go along to a server: not those of one connection, nor those that
 	// only rookpass may set.
 	Outgoing(header http.Header) http.Header
