--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -37,8 +37,8 @@
 // dialect uses short names of headers.
 type dialect struct{}
 
-func (dialect) DecodeRequest(h http.Header) (call.Info, error) {
-	info := call.Info{ID: h.Get("Id"), Program: h.Get("Program"), PreviousTurn: h.Get("Previous"), LastEvent: h.Get("After"), MaxOutputTokens: 100}
+func (dialect) DecodeRequest(h http.Header) (call.RequestInfo, error) {
+	info := call.RequestInfo{ID: h.Get("Id"), Program: h.Get("Program"), PreviousTurn: h.Get("Previous"), LastEvent: h.Get("After"), MaxOutputTokens: 100}
 	if key := h.Get("Api-Key"); key != "" {
 		info.Key, info.HasKey = secret.Of(key), true
 	}
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -112,7 +112,7 @@
 	arrived time.Time
 	// until is when the caller or the route's timeout gives the request up; zero where neither bounds it.
 	until time.Time
-	info  call.Info
+	info  call.RequestInfo
 	table *catalog.Table
 	// tableAge is how old the table may have been when the request came.
 	tableAge time.Duration
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -15,8 +15,8 @@
 	Tokens int64
 }
 
-// Info is what a request's headers say.
-type Info struct {
+// RequestInfo is what a request's headers say.
+type RequestInfo struct {
 	// ID names one attempt of a caller. It is unique.
 	ID string
 	// Deadline is how long the caller will wait from now; 0 means that it did not say.
@@ -76,7 +76,7 @@
 // HeaderCodec reads and writes the headers of one wire format.
 type HeaderCodec interface {
 	// DecodeRequest decodes a caller's request.
-	DecodeRequest(header http.Header) (Info, error)
+	DecodeRequest(header http.Header) (RequestInfo, error)
 	// Outgoing returns the headers that go along to a server: not those of one connection, nor those that
 	// only rookpass may set.
 	Outgoing(header http.Header) http.Header
