--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -68,8 +68,8 @@
 	h.Set("Last-Event", to.LastEvent)
 	h.Set("Organisation", to.Organisation)
 }
-func (dialect) Reply(h http.Header, status int) call.Reply {
-	return call.Reply{ID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "" || status == 421}
+func (dialect) Reply(h http.Header, status int) call.ResponseInfo {
+	return call.ResponseInfo{ID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "" || status == 421}
 }
 func (dialect) Echo(h http.Header, id string) { h.Set("Id", id) }
 
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -61,8 +61,8 @@
 	Organisation string
 }
 
-// Reply is what the headers of a backend server's answer say.
-type Reply struct {
+// ResponseInfo is what the headers of a backend server's answer say.
+type ResponseInfo struct {
 	// ID is the request that the answer belongs to.
 	ID string
 	// Sealed tells whether a server signed the answer.
@@ -83,7 +83,7 @@
 	// Address adds what only the one server that is sent to is told.
 	Address(outgoing http.Header, to Address)
 	// Reply decodes a server's answer.
-	Reply(header http.Header, status int) Reply
+	Reply(header http.Header, status int) ResponseInfo
 	// Echo names the request in an answer of rookpass's own.
 	Echo(header http.Header, id string)
 }
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -56,7 +56,7 @@
 type Response struct {
 	Status int
 	Header http.Header
-	Reply  call.Reply
+	Reply  call.ResponseInfo
 	// Length of the body, or -1 when only its end tells.
 	Length int64
 	Body   io.Reader
@@ -185,12 +185,12 @@
 
 // readHead reads answers until one names the request: an answer of an earlier request on the connection may
 // still come.
-func readHead(c *conn, r *Request, dialect call.HeaderCodec) (*http.Response, call.Reply, error) {
+func readHead(c *conn, r *Request, dialect call.HeaderCodec) (*http.Response, call.ResponseInfo, error) {
 	asked := &http.Request{Method: r.Method}
 	for range maxStrayAnswers {
 		resp, err := http.ReadResponse(c.reader, asked)
 		if err != nil {
-			return nil, call.Reply{}, err
+			return nil, call.ResponseInfo{}, err
 		}
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
@@ -209,7 +209,7 @@
 			return nil, reply, errGarbled
 		}
 	}
-	return nil, call.Reply{}, errGarbled
+	return nil, call.ResponseInfo{}, errGarbled
 }
 
 // wholeReader notes when a body has been read to its end.
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -23,8 +23,8 @@
 // dialect is the least that a pool needs: the header Id names the request.
 type dialect struct{ call.HeaderCodec }
 
-func (dialect) Reply(h http.Header, _ int) call.Reply {
-	return call.Reply{ID: h.Get("Id"), Sealed: h.Get("Seal") != ""}
+func (dialect) Reply(h http.Header, _ int) call.ResponseInfo {
+	return call.ResponseInfo{ID: h.Get("Id"), Sealed: h.Get("Seal") != ""}
 }
 
 // server runs a script for each connection.
