--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -260,6 +260,6 @@
 }
 
 // address returns what a server is told of the request.
-func (x *exchange) address(server, lastEvent string) call.Address {
-	return call.Address{Left: x.left(), Server: server, LastEvent: lastEvent, Organisation: x.organisationName()}
+func (x *exchange) address(server, lastEvent string) call.ForwardInfo {
+	return call.ForwardInfo{Left: x.left(), Server: server, LastEvent: lastEvent, Organisation: x.organisationName()}
 }
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -49,8 +49,8 @@
 	HasKey bool
 }
 
-// Address is what rookpass says to the one server that it sends a request to.
-type Address struct {
+// ForwardInfo is what rookpass says to the one server that it sends a request to.
+type ForwardInfo struct {
 	// Left is how long the server may work; 0 means no bound.
 	Left time.Duration
 	// Server is the name of the server that is meant; all its starts share it.
@@ -81,7 +81,7 @@
 	// only rookpass may set.
 	Outgoing(header http.Header) http.Header
 	// Address adds what only the one server that is sent to is told.
-	Address(outgoing http.Header, to Address)
+	Address(outgoing http.Header, to ForwardInfo)
 	// Reply decodes a server's answer.
 	Reply(header http.Header, status int) ResponseInfo
 	// Echo names the request in an answer of rookpass's own.
