--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -147,7 +147,7 @@
 	// PromptTokens is the size of the prompt; 0 for plain requests.
 	PromptTokens int64
 	// Parts are the prompt's parts in order.
-	Parts []call.Part
+	Parts []call.PromptPart
 	// Connected tells whether a connection to a server rests that the request may use; nil where that is not known.
 	Connected func(*catalog.Server) bool
 	// width is how many servers are weighed, mean how many calls of this daemon one has in the mean; Pick sets both.
--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -100,7 +100,7 @@
 func TestTurnsGoWhereTheirPromptIs(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	b.RecordCached(turn.CachedPrompt{Server: id("2"), Part: "own", Held: 3800})
-	ask := balance.Request{Servers: servers(4), PromptTokens: 4000, Parts: []call.Part{{ID: "own", Tokens: 4000}}}
+	ask := balance.Request{Servers: servers(4), PromptTokens: 4000, Parts: []call.PromptPart{{ID: "own", Tokens: 4000}}}
 	for range 4 {
 		assert.Equal(t, pick(t, b, ask).Server.ID, id("2"))
 	}
@@ -116,10 +116,10 @@
 
 func TestSharedPartsAreRemembered(t *testing.T) {
 	b := balance.New("front", place.Map{DataCentre: "here"})
-	ask := balance.Request{Servers: servers(6), PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2500}, {ID: "own", Tokens: 500}}}
+	ask := balance.Request{Servers: servers(6), PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2500}, {ID: "own", Tokens: 500}}}
 	first := pick(t, b, ask)
 	first.Done(balance.Answered)
-	ask.Parts = []call.Part{{ID: "shared", Tokens: 2500}, {ID: "another", Tokens: 500}}
+	ask.Parts = []call.PromptPart{{ID: "shared", Tokens: 2500}, {ID: "another", Tokens: 500}}
 	assert.Equal(t, pick(t, b, ask).Server.ID, first.Server.ID)
 }
 
@@ -216,7 +216,7 @@
 			pick(t, b, balance.Request{Servers: list, PromptTokens: 100})
 		}
 		b.RecordCached(turn.CachedPrompt{Server: id("1"), Part: "own", Held: 300})
-		ask := balance.Request{Servers: list[1:2], PromptTokens: 400, Parts: []call.Part{{ID: "own", Tokens: 400}}}
+		ask := balance.Request{Servers: list[1:2], PromptTokens: 400, Parts: []call.PromptPart{{ID: "own", Tokens: 400}}}
 		for range 5 { // and more on the one that holds the prompt
 			pick(t, b, ask)
 		}
--- a/internal/front/balance/connecttime_test.go
+++ b/internal/front/balance/connecttime_test.go
@@ -20,7 +20,7 @@
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	list := []*catalog.Server{{ID: id("home"), Service: "svc", DataCentre: "a2", Slots: 8}, {ID: id("away"), Service: "svc", DataCentre: "b1", Slots: 8}}
 	ask := func() balance.Request {
-		return balance.Request{Route: "r", Servers: list, PromptTokens: 900, Parts: []call.Part{{ID: "shared", Tokens: 800}}}
+		return balance.Request{Route: "r", Servers: list, PromptTokens: 900, Parts: []call.PromptPart{{ID: "shared", Tokens: 800}}}
 	}
 	b := balance.New("front", place.Map{DataCentre: "a1", Regions: regions})
 	for range 50 {
--- a/internal/front/balance/memory_test.go
+++ b/internal/front/balance/memory_test.go
@@ -27,7 +27,7 @@
 	b := balance.New("front", place.Map{DataCentre: "here"})
 	before := liveBytes()
 	for range 10 {
-		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2560}}}
+		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2560}}}
 		b.UnloadedDuration(&ask, 40)
 		choice := pick(t, b, ask)
 		choice.HeadReceived()
@@ -46,7 +46,7 @@
 	balancer := balance.New("front", place.Map{DataCentre: "here"})
 	balancer.SetPeerDemand(map[string]int{"svc": 60})
 	for b.Loop() {
-		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.Part{{ID: "shared", Tokens: 2560}}}
+		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2560}}}
 		balancer.UnloadedDuration(&ask, 40)
 		choice, _ := balancer.Pick(&ask)
 		choice.HeadReceived()
--- a/internal/front/balance/parts.go
+++ b/internal/front/balance/parts.go
@@ -44,7 +44,7 @@
 }
 
 // read notes that the server reads a prompt.
-func (p *partSet) read(parts []call.Part) {
+func (p *partSet) read(parts []call.PromptPart) {
 	for _, part := range parts {
 		p.hold(part.ID, part.Tokens)
 	}
@@ -52,7 +52,7 @@
 
 // cached returns how many tokens at the start of a prompt the server holds. A part is of use only behind all
 // before it, so a server that is known to hold one holds those too.
-func (p *partSet) cached(parts []call.Part) int64 {
+func (p *partSet) cached(parts []call.PromptPart) int64 {
 	for i, part := range slices.Backward(parts) {
 		e := p.byID[part.ID]
 		if e == nil {
--- a/internal/front/balance/parts_test.go
+++ b/internal/front/balance/parts_test.go
@@ -17,8 +17,8 @@
 // many of those there are.
 func TestPartsInUseAreNotForgotten(t *testing.T) {
 	p := newPartSet()
-	private := func(i int) []call.Part {
-		return []call.Part{{ID: "shared", Tokens: 500}, {ID: fmt.Sprint("private-", i), Tokens: 100}}
+	private := func(i int) []call.PromptPart {
+		return []call.PromptPart{{ID: "shared", Tokens: 500}, {ID: fmt.Sprint("private-", i), Tokens: 100}}
 	}
 	for i := range 3 * partLimit {
 		p.read(private(i))
@@ -31,8 +31,8 @@
 // TestSessionsPartGrows: what a server has of a session's part is what it read last, not what the session has now.
 func TestSessionsPartGrows(t *testing.T) {
 	p := newPartSet()
-	prompt := func(tokens int64) []call.Part {
-		return []call.Part{{ID: "shared", Tokens: 500}, {ID: "session", Tokens: tokens}}
+	prompt := func(tokens int64) []call.PromptPart {
+		return []call.PromptPart{{ID: "shared", Tokens: 500}, {ID: "session", Tokens: tokens}}
 	}
 	p.read(prompt(300))
 	assert.Equal(t, p.cached(prompt(900)), int64(800))
@@ -40,7 +40,7 @@
 	assert.Equal(t, p.cached(prompt(900)), int64(880))
 	p.read(prompt(900))
 	assert.Equal(t, p.cached(prompt(900)), int64(1400))
-	assert.Equal(t, p.cached([]call.Part{{ID: "other", Tokens: 400}, {ID: "new", Tokens: 100}}), int64(0))
+	assert.Equal(t, p.cached([]call.PromptPart{{ID: "other", Tokens: 400}, {ID: "new", Tokens: 100}}), int64(0))
 }
 
 // TestTurnsGoWhereOthersSentThem: what another daemon says of a session's server decides where its next turn goes,
@@ -48,7 +48,7 @@
 func TestTurnsGoWhereOthersSentThem(t *testing.T) {
 	a, b, c := incarnation.ID{Server: "a"}, incarnation.ID{Server: "b"}, incarnation.ID{Server: "c"}
 	list := []*catalog.Server{{ID: a, Slots: 8}, {ID: b, Slots: 8}, {ID: c, Slots: 8}}
-	prompt := []call.Part{{ID: "shared", Tokens: 500}, {ID: "parent", Tokens: 2000}, {ID: "session", Tokens: 700}}
+	prompt := []call.PromptPart{{ID: "shared", Tokens: 500}, {ID: "parent", Tokens: 2000}, {ID: "session", Tokens: 700}}
 	for range 20 {
 		balancer := New("front", place.Map{})
 		balancer.RecordCached(turn.CachedPrompt{Server: b, Part: "parent", Held: 2000})
@@ -56,7 +56,7 @@
 		choice, found := balancer.Pick(&Request{Servers: list, PromptTokens: 3200, Parts: prompt})
 		assert.Assert(t, found)
 		assert.Equal(t, choice.Server.ID, c)
-		first, found := balancer.Pick(&Request{Servers: list, PromptTokens: 2600, Parts: append(prompt[:2:2], call.Part{ID: "helper", Tokens: 100})})
+		first, found := balancer.Pick(&Request{Servers: list, PromptTokens: 2600, Parts: append(prompt[:2:2], call.PromptPart{ID: "helper", Tokens: 100})})
 		assert.Assert(t, found)
 		assert.Equal(t, first.Server.ID, b, "a helper's prompt begins with its parent's")
 	}
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -43,7 +43,7 @@
 	assert.DeepEqual(t, b.View(new[0].ID), balance.View{})
 	list := append(new, startsOf("b", 1)...)
 	list[1].DataCentre = "there"
-	choice := pick(t, b, balance.Request{Servers: list, PromptTokens: 1000, Parts: []call.Part{{ID: "own", Tokens: 1000}}})
+	choice := pick(t, b, balance.Request{Servers: list, PromptTokens: 1000, Parts: []call.PromptPart{{ID: "own", Tokens: 1000}}})
 	assert.Equal(t, choice.Server.ID, new[0].ID, "the start is neither ejected nor suspected nor loaded")
 	assert.Equal(t, choice.InFlight, 0)
 	assert.Equal(t, choice.Uncached, int64(1000), "it holds nothing of prompts")
--- a/internal/front/balance/subset_test.go
+++ b/internal/front/balance/subset_test.go
@@ -134,7 +134,7 @@
 // turn is a program's first turn.
 func (f *thinFleet) turn(t *testing.T, d *thinDaemon) {
 	ask := balance.Request{Route: "r", Servers: d.servers, DataCentres: thinDataCentres, PromptTokens: 3590,
-		Parts: []call.Part{{ID: "shared", Tokens: thinSharedTokens}, {ID: fmt.Sprint("own", f.turns), Tokens: 1030}}}
+		Parts: []call.PromptPart{{ID: "shared", Tokens: thinSharedTokens}, {ID: fmt.Sprint("own", f.turns), Tokens: 1030}}}
 	choice := pick(t, d.balancer, ask)
 	f.turns++
 	server := choice.Server.ID
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -9,8 +9,8 @@
 	"github.com/rookpass/rookpass/internal/base/secret"
 )
 
-// Part is a run of prompt tokens that several requests may share.
-type Part struct {
+// PromptPart is a run of prompt tokens that several requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int64
 }
@@ -42,7 +42,7 @@
 	// there is none.
 	LikelyOutputTokens int64
 	// Parts are the prompt's parts in order.
-	Parts []Part
+	Parts []PromptPart
 	// Key is the hash of the key that proves the caller's organisation. HasKey is not set where the caller sent none, or
 	// more than one.
 	Key    secret.Hash
