--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -80,7 +80,7 @@
 			reason = reasonGone
 		}
 		return nil, upstream.NewFailure(verdict.NotRun, reason, Error.New("status %d", answer.Status))
-	case isSuccess(answer.Status) && !answer.Reply.Sealed:
+	case isSuccess(answer.Status) && !answer.Reply.Signed:
 		answer.Close()
 		return nil, upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonGarbled, Error.New("status %d without a signature", answer.Status))
 	}
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -65,8 +65,8 @@
 type ResponseInfo struct {
 	// ID is the request that the answer belongs to.
 	ID string
-	// Sealed tells whether a server signed the answer.
-	Sealed bool
+	// Signed tells whether a server signed the answer.
+	Signed bool
 	// NotRun is the server's word that it did not and will not run the request.
 	NotRun bool
 	// KeepAlive is how long the server keeps the connection when idle; 0 means that it did not say.
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -24,7 +24,7 @@
 type dialect struct{ call.HeaderCodec }
 
 func (dialect) Reply(h http.Header, _ int) call.ResponseInfo {
-	return call.ResponseInfo{ID: h.Get("Id"), Sealed: h.Get("Seal") != ""}
+	return call.ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Seal") != ""}
 }
 
 // server runs a script for each connection.
