--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -63,7 +63,7 @@
 }
 func (dialect) Outgoing(h http.Header) http.Header { return platform.Headers{}.Outgoing(h) }
 func (dialect) Address(h http.Header, to call.ForwardInfo) {
-	h.Set("Left", to.Left.String())
+	h.Set("Left", to.Timeout.String())
 	h.Set("Server", to.Server)
 	h.Set("Last-Event", to.LastEvent)
 	h.Set("Organisation", to.Organisation)
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -261,5 +261,5 @@
 
 // address returns what a server is told of the request.
 func (x *exchange) address(server, lastEvent string) call.ForwardInfo {
-	return call.ForwardInfo{Left: x.left(), Server: server, LastEvent: lastEvent, Organisation: x.organisationName()}
+	return call.ForwardInfo{Timeout: x.left(), Server: server, LastEvent: lastEvent, Organisation: x.organisationName()}
 }
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -51,8 +51,8 @@
 
 // ForwardInfo is what rookpass says to the one server that it sends a request to.
 type ForwardInfo struct {
-	// Left is how long the server may work; 0 means no bound.
-	Left time.Duration
+	// Timeout is how long the server may work; 0 means no bound.
+	Timeout time.Duration
 	// Server is the name of the server that is meant; all its starts share it.
 	Server string
 	// LastEvent is the id of the event behind which a stream is to go on; empty from its start.
