--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -61,7 +61,7 @@
 	}
 	x.mayRun.Add(1)
 	answer, failure := x.g.sender.Do(ctx, endpoint(&choice.Server), limit, request)
-	if failure != nil && failure.Verdict == verdict.NotRun || failure == nil && answer.Reply.NotRun {
+	if failure != nil && failure.Verdict == verdict.NotRun || failure == nil && answer.Info.NotRun {
 		x.mayRun.Add(-1)
 	}
 	if failure != nil {
@@ -72,7 +72,7 @@
 	}
 	choice.HeadReceived()
 	switch {
-	case answer.Reply.NotRun:
+	case answer.Info.NotRun:
 		_, _ = io.Copy(io.Discard, answer.Body) // so that the connection can be kept; the answer says all
 		answer.Close()
 		reason := reasonShed
@@ -80,7 +80,7 @@
 			reason = reasonGone
 		}
 		return nil, upstream.NewFailure(verdict.NotRun, reason, Error.New("status %d", answer.Status))
-	case isSuccess(answer.Status) && !answer.Reply.Signed:
+	case isSuccess(answer.Status) && !answer.Info.Signed:
 		answer.Close()
 		return nil, upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonGarbled, Error.New("status %d without a signature", answer.Status))
 	}
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -90,7 +90,7 @@
 			p.drop(to)
 			return
 		}
-		p.put(to, c, answer.Reply.KeepAlive)
+		p.put(to, c, answer.Info.KeepAlive)
 	}
 	return answer, nil
 }
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -56,7 +56,7 @@
 type Response struct {
 	Status int
 	Header http.Header
-	Reply  call.ResponseInfo
+	Info   call.ResponseInfo
 	// Length of the body, or -1 when only its end tells.
 	Length int64
 	Body   io.Reader
@@ -160,7 +160,7 @@
 		}
 		return fail(verdict.MayHaveRun, reason, err)
 	}
-	answer := &Response{Status: resp.StatusCode, Header: resp.Header, Reply: reply, Length: resp.ContentLength, conn: c, resp: resp}
+	answer := &Response{Status: resp.StatusCode, Header: resp.Header, Info: reply, Length: resp.ContentLength, conn: c, resp: resp}
 	answer.Body = &wholeReader{answer: answer}
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	keep := framed && !resp.Close && writeDone && writeErr == nil
