--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -53,7 +53,7 @@
 	x.g.dialect.Address(header, x.address(choice.Server.ID.Server, lastEvent))
 	request := &upstream.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: header, Body: body, ID: x.info.ID,
-		Repeatable: x.route.Repeatable(),
+		Idempotent: x.route.Repeatable(),
 	}
 	limit := 0
 	if service := x.table.Service(choice.Server.Service); service != nil {
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -74,7 +74,7 @@
 
 // Do sends a request to a server and returns the head of its answer. limit bounds the connections to it; 0 means none.
 func (p *Pool) Do(ctx context.Context, to Endpoint, limit int, r *Request) (*Response, *Failure) {
-	c, failure := p.take(ctx, to, limit, r.Repeatable)
+	c, failure := p.take(ctx, to, limit, r.Idempotent)
 	if failure != nil {
 		return nil, failure
 	}
--- a/internal/transport/upstream/rest_test.go
+++ b/internal/transport/upstream/rest_test.go
@@ -44,7 +44,7 @@
 					to := upstream.Endpoint{Address: "server"}
 					send := func() {
 						r := request("1")
-						r.Repeatable = repeatable
+						r.Idempotent = repeatable
 						a, failure := p.Do(context.Background(), to, 0, r)
 						assert.Assert(t, failure == nil, "%v", failure)
 						_, err := io.ReadAll(a.Body)
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -39,8 +39,8 @@
 	Body   [][]byte
 	// ID must come back in the answer.
 	ID string
-	// Repeatable requests may run more than once.
-	Repeatable bool
+	// Idempotent requests may run more than once.
+	Idempotent bool
 }
 
 func (r *Request) bodyLength() int {
