--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -82,7 +82,7 @@
 		return nil, upstream.NewFailure(verdict.NotRun, reason, Error.New("status %d", answer.Status))
 	case isSuccess(answer.Status) && !answer.Info.Signed:
 		answer.Close()
-		return nil, upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonGarbled, Error.New("status %d without a signature", answer.Status))
+		return nil, upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonMalformed, Error.New("status %d without a signature", answer.Status))
 	}
 	return answer, nil
 }
--- a/internal/front/gateway/plain.go
+++ b/internal/front/gateway/plain.go
@@ -153,7 +153,7 @@
 	head, err := io.ReadAll(io.LimitReader(answer.Body, bufferBytes))
 	if err != nil {
 		answer.Close()
-		t.failure = upstream.NewFailure(verdict.MayHaveRun, reasonOf(ctx, upstream.ReasonGarbled), err)
+		t.failure = upstream.NewFailure(verdict.MayHaveRun, reasonOf(ctx, upstream.ReasonMalformed), err)
 		return t
 	}
 	t.answer, t.head, t.more = answer, head, len(head) == bufferBytes
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -189,7 +189,7 @@
 	}
 	head, err := io.ReadAll(io.LimitReader(answer.Body, bufferBytes))
 	if err != nil {
-		failure := upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonGarbled, err)
+		failure := upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonMalformed, err)
 		s.x.noteFailure(s.try.choice, s.try.began, failure)
 		return false, s.x.broken(true, failure)
 	}
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -93,13 +93,13 @@
 
 // The reasons of failures.
 const (
-	ReasonDial     = "dial"
-	ReasonNoConns  = "no-connections"
-	ReasonWrite    = "write"
-	ReasonRead     = "read"
-	ReasonTimeout  = "timeout"
-	ReasonGarbled  = "garbled"
-	ReasonCanceled = "canceled"
+	ReasonDial      = "dial"
+	ReasonNoConns   = "no-connections"
+	ReasonWrite     = "write"
+	ReasonRead      = "read"
+	ReasonTimeout   = "timeout"
+	ReasonMalformed = "garbled"
+	ReasonCanceled  = "canceled"
 )
 
 // conn is one connection to a server.
@@ -150,7 +150,7 @@
 	}
 	if err != nil {
 		stop()
-		reason := ReasonGarbled
+		reason := ReasonMalformed
 		if isBroken(err) {
 			reason = ReasonRead
 		}
