--- a/internal/rookpassd/backend/service.go
+++ b/internal/rookpassd/backend/service.go
@@ -31,11 +31,11 @@
 // a refusal is an answer, whatever its status.
 func (s *Service) Send(ctx context.Context, path string, body []byte, requestID string, idempotent bool) (Answer, error) {
 	r := httpclient.Request{
-		Method: http.MethodPost,
-		Path:   path,
-		Body:   body,
-		Header: map[string]string{"X-Request-Id": requestID},
-		Once:   !idempotent,
+		Method:     http.MethodPost,
+		Path:       path,
+		Body:       body,
+		Header:     map[string]string{"X-Request-Id": requestID},
+		AtMostOnce: !idempotent,
 	}
 	if idempotent && len(body) == 0 {
 		r.Method = http.MethodGet
--- a/internal/transport/httpclient/httpclient.go
+++ b/internal/transport/httpclient/httpclient.go
@@ -121,8 +121,8 @@
 	Path   string
 	Body   []byte
 	Header map[string]string
-	// Once marks a request that must not be repeated: it gets a connection of its own.
-	Once bool
+	// AtMostOnce marks a request that must not be repeated: it gets a connection of its own.
+	AtMostOnce bool
 }
 
 // Response is an HTTP response whose body is still to be read.
@@ -146,7 +146,7 @@
 	}
 	propagation.TraceContext{}.Inject(ctx, headerCarrier{&req.Header})
 	send, closeConn := func() error { return c.pooled.Do(req, resp) }, func() {}
-	if r.Once {
+	if r.AtMostOnce {
 		own := &ownConn{}
 		send, closeConn = func() error { return c.sendOnce(ctx, own, req, resp) }, own.close
 	}
--- a/internal/transport/httpclient/once_test.go
+++ b/internal/transport/httpclient/once_test.go
@@ -32,7 +32,7 @@
 	}, time.Minute)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := client.Do(ctx, httpclient.Request{Method: http.MethodPost, Path: "/", Body: []byte("book"), Once: true})
+	_, err := client.Do(ctx, httpclient.Request{Method: http.MethodPost, Path: "/", Body: []byte("book"), AtMostOnce: true})
 	assert.ErrorIs(t, err, httpclient.ErrBroken)
 	close(connected)
 	<-closed
@@ -66,7 +66,7 @@
 	}, time.Minute)
 	defer client.Close()
 	for i := range int64(3) {
-		resp, err := client.Do(t.Context(), httpclient.Request{Method: http.MethodPost, Path: "/x", Body: []byte("b"), Once: true,
+		resp, err := client.Do(t.Context(), httpclient.Request{Method: http.MethodPost, Path: "/x", Body: []byte("b"), AtMostOnce: true,
 			Header: map[string]string{"X-Key": "k"}})
 		assert.NilError(t, err)
 		body, err := resp.ReadAll(t.Context(), 1000)
