--- a/internal/transport/httpclient/httpclient.go
+++ b/internal/transport/httpclient/httpclient.go
@@ -28,8 +28,8 @@
 var (
 	// ErrNotSent means that nothing of the request left this process.
 	ErrNotSent = errors.New("request not sent")
-	// ErrBroken means that the request may have arrived, but no whole answer came.
-	ErrBroken = errors.New("no answer")
+	// ErrNoResponse means that the request may have arrived, but no whole answer came.
+	ErrNoResponse = errors.New("no answer")
 	// ErrTooLarge means that the answer's body is above the bound.
 	ErrTooLarge = errors.New("answer is too large")
 )
@@ -170,7 +170,7 @@
 			<-result
 			release()
 		}()
-		return nil, fmt.Errorf("%w: %s: %w", ErrBroken, c.addr, context.Cause(ctx))
+		return nil, fmt.Errorf("%w: %s: %w", ErrNoResponse, c.addr, context.Cause(ctx))
 	}
 }
 
@@ -227,7 +227,7 @@
 	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) || !guard.On(guard.Verdict) {
 		return fmt.Errorf("%w: %s: %w", ErrNotSent, addr, err)
 	}
-	return fmt.Errorf("%w: %s: %w", ErrBroken, addr, err)
+	return fmt.Errorf("%w: %s: %w", ErrNoResponse, addr, err)
 }
 
 // ReadAll returns the whole body and releases the response. A body above limit bytes is ErrTooLarge.
--- a/internal/transport/httpclient/once_test.go
+++ b/internal/transport/httpclient/once_test.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := client.Do(ctx, httpclient.Request{Method: http.MethodPost, Path: "/", Body: []byte("book"), AtMostOnce: true})
-	assert.ErrorIs(t, err, httpclient.ErrBroken)
+	assert.ErrorIs(t, err, httpclient.ErrNoResponse)
 	close(connected)
 	<-closed
 	server.Close() // waits for the requests that it has read
