--- a/internal/decide/quota/client.go
+++ b/internal/decide/quota/client.go
@@ -51,7 +51,7 @@
 
 // Client asks homes for grants. Use NewAsker.
 type Client struct {
-	links *peerlink.Set
+	links *peerlink.Pool
 	// candidates returns the addresses of an organisation's homes and, behind them, of those that may stand in.
 	candidates func(organisation string) []string
 
@@ -74,7 +74,7 @@
 type refusal struct{ until, room time.Time }
 
 // NewClient returns an asker over links.
-func NewClient(links *peerlink.Set, candidates func(organisation string) []string) *Client {
+func NewClient(links *peerlink.Pool, candidates func(organisation string) []string) *Client {
 	return &Client{links: links, candidates: candidates, silent: map[string]time.Time{}, denied: map[denial]refusal{}, held: map[string]time.Time{}}
 }
 
--- a/internal/front/exchange/relay.go
+++ b/internal/front/exchange/relay.go
@@ -96,7 +96,7 @@
 // Relayer tells the other hubs what this one's daemons have said.
 type Relayer struct {
 	Service *Service
-	Links   *peerlink.Set
+	Links   *peerlink.Pool
 	// SelfAddress is this daemon's address.
 	SelfAddress string
 	// HubsByArea returns where each hub may be, the likeliest first: one in each data centre where daemons are many, else one in
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -64,7 +64,7 @@
 	fabric   *memnet.Fabric
 	disks    []layout.Disk
 	services []*exchange.Service
-	links    *peerlink.Set
+	links    *peerlink.Pool
 }
 
 func startHubs(t *testing.T, ctx context.Context, work *sync.WaitGroup) *hubs {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,7 +95,7 @@
 	log      logrus.FieldLogger
 	metrics  *metrics.Registry
 	store    *platform.Store
-	links    *peerlink.Set
+	links    *peerlink.Pool
 	// seeds are addresses of store daemons for when the layout is not known.
 	seeds atomic.Pointer[[]string]
 }
--- a/internal/transport/peerlink/peerlink.go
+++ b/internal/transport/peerlink/peerlink.go
@@ -25,8 +25,8 @@
 	detourTime = 2 * time.Second
 )
 
-// Set keeps a link for each address.
-type Set struct {
+// Pool keeps a link for each address.
+type Pool struct {
 	dial network.DialContext
 	// detour connects to an address through another daemon; nil where there is none.
 	detour   network.DialContext
@@ -39,26 +39,26 @@
 }
 
 // NewSet returns an empty set.
-func NewSet(dial network.DialContext) *Set {
-	return &Set{dial: dial, budget: newBudget(), links: map[string]*Link{}}
+func NewSet(dial network.DialContext) *Pool {
+	return &Pool{dial: dial, budget: newBudget(), links: map[string]*Link{}}
 }
 
 // WithDetour makes calls that have no answer after patience be sent over a detour as well, and returns the
 // set. Every call must be idempotent.
-func (s *Set) WithDetour(detour network.DialContext, patience time.Duration) *Set {
+func (s *Pool) WithDetour(detour network.DialContext, patience time.Duration) *Pool {
 	s.detour, s.patience = detour, patience
 	return s
 }
 
 // Seconds returns how many calls were sent over a second path.
-func (s *Set) Seconds() int {
+func (s *Pool) Seconds() int {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	return s.budget.sent
 }
 
 // To returns the link to an address.
-func (s *Set) To(address string) *Link {
+func (s *Pool) To(address string) *Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	link := s.links[address]
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -49,7 +49,7 @@
 
 // Ledger talks to the disks. Use New.
 type Ledger struct {
-	links  *peerlink.Set
+	links  *peerlink.Pool
 	log    logrus.FieldLogger
 	place  place.Map
 	layout atomic.Pointer[layout.Layout]
@@ -61,7 +61,7 @@
 }
 
 // New returns a ledger of a daemon at a place. cacheBytes bounds the turns kept in memory.
-func New(links *peerlink.Set, at place.Map, cacheBytes int, log logrus.FieldLogger) *Ledger {
+func New(links *peerlink.Pool, at place.Map, cacheBytes int, log logrus.FieldLogger) *Ledger {
 	return &Ledger{links: links, place: at, cache: newCache(cacheBytes), log: log}
 }
 
--- a/internal/turns/replica/controller.go
+++ b/internal/turns/replica/controller.go
@@ -32,7 +32,7 @@
 type Controller struct {
 	store       *Store
 	api         objectapi.API
-	links       *peerlink.Set
+	links       *peerlink.Pool
 	place       place.Map
 	retirements Retirements
 	log         logrus.FieldLogger
@@ -57,7 +57,7 @@
 type Options struct {
 	Store       *Store
 	API         objectapi.API
-	Links       *peerlink.Set
+	Links       *peerlink.Pool
 	Retirements Retirements
 	Log         logrus.FieldLogger
 	// Topology is where this daemon stands.
--- a/internal/turns/replica/takeover.go
+++ b/internal/turns/replica/takeover.go
@@ -90,7 +90,7 @@
 }
 
 // askPage makes one call of a copy.
-func askPage[Reply any](ctx context.Context, links *peerlink.Set, from layout.Disk, method string, args any) (*Reply, error) {
+func askPage[Reply any](ctx context.Context, links *peerlink.Pool, from layout.Disk, method string, args any) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return peerlink.Call[Reply](ctx, links.To(from.Address), ServiceName+"."+method, args)
