--- a/internal/objects/watch/link.go
+++ b/internal/objects/watch/link.go
@@ -30,10 +30,10 @@
 // errReturned ends calls that were sent before their source was back.
 var errReturned = errors.New("the source is back")
 
-// Link is what the watchers of one source share: whether it answers. While it does not, one of them at a time is asked
+// SharedSource is what the watchers of one source share: whether it answers. While it does not, one of them at a time is asked
 // for, in turn; all go on at the first answer. So an outage costs a daemon the calls of one watcher, and watches that
 // wait long learn of its end as soon as the others. Use NewLink.
-type Link struct {
+type SharedSource struct {
 	source Source
 
 	mu sync.Mutex
@@ -59,8 +59,8 @@
 }
 
 // NewLink returns the link of a source that counts as answering.
-func NewLink(source Source) *Link {
-	return &Link{source: source, returned: make(chan struct{}), callsEnd: make(chan struct{})}
+func NewLink(source Source) *SharedSource {
+	return &SharedSource{source: source, returned: make(chan struct{}), callsEnd: make(chan struct{})}
 }
 
 func newPauses() *backoff.ExponentialBackOff {
@@ -70,7 +70,7 @@
 }
 
 // cancelAtReturn returns a context that ends with errReturned when the source is back after having been lost.
-func (l *Link) cancelAtReturn(parent context.Context) (context.Context, context.CancelFunc) {
+func (l *SharedSource) cancelAtReturn(parent context.Context) (context.Context, context.CancelFunc) {
 	l.mu.Lock()
 	callsEnd := l.callsEnd
 	l.mu.Unlock()
@@ -87,7 +87,7 @@
 
 // await returns when the source answers again, or ctx ends. It waits for pause at least. The error is errReturned where
 // another watcher's question was answered.
-func (l *Link) await(ctx context.Context, prefixes []string, version uint64, pause time.Duration) (objectapi.Batch, error) {
+func (l *SharedSource) await(ctx context.Context, prefixes []string, version uint64, pause time.Duration) (objectapi.Batch, error) {
 	if err := wait.For(ctx, pause); err != nil {
 		return objectapi.Batch{}, err
 	}
@@ -112,7 +112,7 @@
 }
 
 // probe asks again and again, and tells every watcher when there is an answer, or when ctx ends.
-func (l *Link) probe(ctx context.Context) {
+func (l *SharedSource) probe(ctx context.Context) {
 	defer l.tellReturned()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -133,7 +133,7 @@
 }
 
 // ask puts one question. That the history is gone is an answer too.
-func (l *Link) ask(ctx context.Context, q *question, answered chan<- struct{}) {
+func (l *SharedSource) ask(ctx context.Context, q *question, answered chan<- struct{}) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	batch, err := l.source.Wait(ctx, q.prefixes, q.version, 0)
@@ -151,7 +151,7 @@
 }
 
 // next returns the question whose turn it is.
-func (l *Link) next() *question {
+func (l *SharedSource) next() *question {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q := l.lost[0]
@@ -159,7 +159,7 @@
 	return q
 }
 
-func (l *Link) tellReturned() {
+func (l *SharedSource) tellReturned() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lost = nil
--- a/internal/objects/watch/watch.go
+++ b/internal/objects/watch/watch.go
@@ -67,7 +67,7 @@
 
 // Watcher feeds handlers. Use New, then Run.
 type Watcher struct {
-	link     *Link
+	link     *SharedSource
 	handlers []Handler
 	pace     time.Duration
 	waitTime time.Duration
@@ -85,7 +85,7 @@
 // New returns a watcher of the handlers' prefixes over a link, which it may share with others. pace is the least time
 // between two calls to the API: the first change after a quiet time is seen at once, while a stream of changes costs
 // one call for each pace.
-func New(link *Link, pace time.Duration, handlers ...Handler) *Watcher {
+func New(link *SharedSource, pace time.Duration, handlers ...Handler) *Watcher {
 	return &Watcher{link: link, pace: pace, waitTime: waitTime, handlers: handlers, log: discard()}
 }
 
