--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -179,7 +179,7 @@
 // as the layout names them.
 func (f *front) watch(ctx context.Context, group *errgroup.Group) {
 	source := feed.New(f.mirrors(), feed.Named{Name: "platform", Source: single{f.store}}, f.log)
-	link := watch.NewLink(source)
+	link := watch.NewSharedSource(source)
 	run := func(h watch.Handler, limit time.Duration) error { return f.watcher(link, limit, h).Run(ctx) }
 	group.Go(func() error {
 		if f.settings.FirstStart {
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -91,7 +91,7 @@
 	}
 	layouts := &handler{prefix: layoutPrefix, apply: controller.ObserveLayout}
 	source := feed.New(b.readers(store), feed.Named{Name: "platform", Source: single{b.store}}, b.log).WithMirrorWait(followWait)
-	link := watch.NewLink(source)
+	link := watch.NewSharedSource(source)
 	layoutWatcher := b.watcher(link, rareWait, both{mirrors[2], layouts})
 	watchers := []*watch.Watcher{
 		b.watcher(link, configWait, mirrors[0]),
--- a/internal/objects/watch/link.go
+++ b/internal/objects/watch/link.go
@@ -58,8 +58,8 @@
 	err   error
 }
 
-// NewLink returns the link of a source that counts as answering.
-func NewLink(source Source) *SharedSource {
+// NewSharedSource returns the link of a source that counts as answering.
+func NewSharedSource(source Source) *SharedSource {
 	return &SharedSource{source: source, returned: make(chan struct{}), callsEnd: make(chan struct{})}
 }
 
--- a/internal/objects/watch/watch_test.go
+++ b/internal/objects/watch/watch_test.go
@@ -63,7 +63,7 @@
 				store := memapi.New()
 				api := apitest.New(store)
 				c := &copied{}
-				stop := run(t, watch.New(watch.NewLink(api), 100*time.Millisecond, c))
+				stop := run(t, watch.New(watch.NewSharedSource(api), 100*time.Millisecond, c))
 				first, err := store.Put(t.Context(), "a/1", nil, objectapi.MustNotExist)
 				assert.NilError(t, err)
 				<-time.After(time.Second)
@@ -90,7 +90,7 @@
 		api := apitest.New(memapi.New())
 		c := &copied{}
 		log, lines := logtest.NewNullLogger()
-		w := watch.New(watch.NewLink(api), 100*time.Millisecond, c).WithLog(log)
+		w := watch.New(watch.NewSharedSource(api), 100*time.Millisecond, c).WithLog(log)
 		assert.Assert(t, w.Age() < 0)
 		stop := run(t, w)
 		<-time.After(time.Second)
@@ -116,7 +116,7 @@
 	testbubble.Run(t, func(t *testing.T) {
 		store := memapi.New()
 		c := &copied{}
-		w := watch.New(watch.NewLink(store), 100*time.Millisecond, c)
+		w := watch.New(watch.NewSharedSource(store), 100*time.Millisecond, c)
 		stop := run(t, w)
 		<-time.After(2 * time.Second)
 		before := w.Calls()
@@ -140,7 +140,7 @@
 				testbubble.Run(t, func(t *testing.T) {
 					api := apitest.New(memapi.New())
 					c := &copied{}
-					stop := run(t, watch.New(watch.NewLink(api), 0, c))
+					stop := run(t, watch.New(watch.NewSharedSource(api), 0, c))
 					defer stop()
 					for range 5 {
 						<-time.After(time.Second)
@@ -201,7 +201,7 @@
 	testbubble.Run(t, func(t *testing.T) {
 		store := memapi.New()
 		api := &swallowed{API: apitest.New(store)}
-		link := watch.NewLink(api)
+		link := watch.NewSharedSource(api)
 		quick, slow := &copied{}, &copied{prefix: "b/"}
 		defer run(t, watch.New(link, 0, quick).WithWait(time.Second))()
 		defer run(t, watch.New(link, 0, slow).WithWait(time.Hour))()
@@ -222,7 +222,7 @@
 func TestOutageCostsTheCallsOfOneWatcher(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		api := &swallowed{API: apitest.New(memapi.New())}
-		link := watch.NewLink(api)
+		link := watch.NewSharedSource(api)
 		for i := range 6 {
 			defer run(t, watch.New(link, 0, &copied{prefix: fmt.Sprint("p", i, "/")}).WithWait(time.Second))()
 		}
@@ -248,7 +248,7 @@
 	testbubble.Run(t, func(t *testing.T) {
 		store := memapi.New()
 		api := &swallowed{API: apitest.New(store), broken: "b/", mute: mute}
-		link := watch.NewLink(api)
+		link := watch.NewSharedSource(api)
 		c := &copied{}
 		healthy := watch.New(link, 0, c)
 		defer run(t, watch.New(link, 0, &copied{prefix: "b/"}))()
@@ -291,7 +291,7 @@
 		api := &old{apitest.New(store), objectapi.Snapshot{Objects: []objectapi.Object{object}, Version: object.Version, Stale: true}}
 		api.Set(apitest.Down)
 		c := &copied{}
-		w := watch.New(watch.NewLink(api), 0, c)
+		w := watch.New(watch.NewSharedSource(api), 0, c)
 		defer run(t, w)()
 		<-time.After(3 * time.Second)
 		assert.Equal(t, len(c.objects), 1)
@@ -343,7 +343,7 @@
 		source := &told{}
 		source.sinceOutage.Store(int64(time.Minute))
 		c, other := &copied{}, &copied{prefix: "b/"}
-		stop := run(t, watch.New(watch.NewLink(source), 100*time.Millisecond, c, other).WithWait(time.Second))
+		stop := run(t, watch.New(watch.NewSharedSource(source), 100*time.Millisecond, c, other).WithWait(time.Second))
 		defer stop()
 		time.Sleep(3500 * time.Millisecond)
 		assert.Equal(t, c.lost, 0, "it ended before the watch began")
--- a/internal/rookpassd/daemon/daemon.go
+++ b/internal/rookpassd/daemon/daemon.go
@@ -120,7 +120,7 @@
 		limiter:   p.Limiter,
 		config:    p.Config,
 		tracker:   p.Tracker,
-		watcher:   watch.New(watch.NewLink(p.Relayed), time.Duration(p.Settings.WatchPaceMillis)*time.Millisecond, p.Config, p.Tracker).WithLog(p.Log),
+		watcher:   watch.New(watch.NewSharedSource(p.Relayed), time.Duration(p.Settings.WatchPaceMillis)*time.Millisecond, p.Config, p.Tracker).WithLog(p.Log),
 		peers:     p.Peers,
 		forwarder: p.Forwarder,
 		runner:    p.Runner,
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -104,7 +104,9 @@
 		_ = peerlink.Serve(listener, map[string]any{replica.ServiceName: replica.NewService(store)})
 	}()
 	var running sync.WaitGroup // both write to the daemon's folder
-	running.Go(func() { _ = watch.New(watch.NewLink(c.api), 0, observer{controller}).WithWait(time.Second).Run(ctx) })
+	running.Go(func() {
+		_ = watch.New(watch.NewSharedSource(c.api), 0, observer{controller}).WithWait(time.Second).Run(ctx)
+	})
 	running.Go(func() { _ = controller.Run(ctx) })
 	go func() {
 		running.Wait()
