--- a/internal/objects/watch/watch.go
+++ b/internal/objects/watch/watch.go
@@ -30,8 +30,8 @@
 	Lost()
 }
 
-// CertainHandler is a Handler that also wants to know up to when its copy certainly holds every change.
-type CertainHandler interface {
+// WatermarkHandler is a Handler that also wants to know up to when its copy certainly holds every change.
+type WatermarkHandler interface {
 	Handler
 	// Certain tells that every change made before a time has been seen. It follows Confirm.
 	Certain(at time.Time)
@@ -299,7 +299,7 @@
 	at := time.Now().Add(-age)
 	w.confirmed.Store(&at)
 	handler.Confirm(version, at)
-	if h, ok := handler.(CertainHandler); ok && !certain.IsZero() {
+	if h, ok := handler.(WatermarkHandler); ok && !certain.IsZero() {
 		h.Certain(certain)
 	}
 }
