--- a/internal/objects/feed/feed_test.go
+++ b/internal/objects/feed/feed_test.go
@@ -404,7 +404,7 @@
 			direct := &source{version: 9}
 			mirrors := make([]*source, 9)
 			for i := range mirrors {
-				mirrors[i] = &source{err: objectapi.ErrNothingKnown}
+				mirrors[i] = &source{err: objectapi.ErrNotSynced}
 			}
 			f := newFeed(direct, mirrors...)
 			began := time.Now()
--- a/internal/objects/feed/sources.go
+++ b/internal/objects/feed/sources.go
@@ -123,7 +123,7 @@
 	switch {
 	case s.direct:
 		f.directDue = now.Add(f.leaveAloneFor(now))
-	case errors.Is(err, objectapi.ErrNothingKnown): // it has just started, and has not lost the store
+	case errors.Is(err, objectapi.ErrNotSynced): // it has just started, and has not lost the store
 	case !errors.Is(err, peerlink.ErrUnreachable):
 		f.noteLoss(now)
 	}
--- a/internal/objects/mirror/mirror.go
+++ b/internal/objects/mirror/mirror.go
@@ -160,7 +160,7 @@
 	case m.fresh():
 		return nil
 	case m.confirmed.IsZero() && !m.lost:
-		return objectapi.ErrNothingKnown
+		return objectapi.ErrNotSynced
 	default:
 		return objectapi.ErrUnavailable
 	}
--- a/internal/objects/mirror/mirror_test.go
+++ b/internal/objects/mirror/mirror_test.go
@@ -31,7 +31,7 @@
 	m := mirror.New("k/", time.Hour)
 	_, err := list(m)
 	assert.ErrorIs(t, err, objectapi.ErrUnavailable)
-	assert.ErrorIs(t, err, objectapi.ErrNothingKnown, "it has lost nothing")
+	assert.ErrorIs(t, err, objectapi.ErrNotSynced, "it has lost nothing")
 	m.Reset([]objectapi.Object{object("a", 3)}, 5)
 	m.Confirm(5, time.Now())
 	snapshot, err := list(m)
--- a/internal/objects/mirror/rpc.go
+++ b/internal/objects/mirror/rpc.go
@@ -35,7 +35,7 @@
 		return outcomeOK
 	case errors.Is(err, objectapi.ErrGone):
 		return outcomeGone
-	case errors.Is(err, objectapi.ErrNothingKnown):
+	case errors.Is(err, objectapi.ErrNotSynced):
 		return outcomeNothingKnown
 	default:
 		return outcomeUnavailable
@@ -49,7 +49,7 @@
 	case outcomeGone:
 		return objectapi.ErrGone
 	case outcomeNothingKnown:
-		return objectapi.ErrNothingKnown
+		return objectapi.ErrNotSynced
 	default:
 		return objectapi.ErrUnavailable
 	}
--- a/internal/objects/objectapi/objectapi.go
+++ b/internal/objects/objectapi/objectapi.go
@@ -26,8 +26,8 @@
 	ErrConflict = errors.New("object version conflict")
 	// ErrUnavailable means that the request provably had no effect.
 	ErrUnavailable = errors.New("object API unavailable")
-	// ErrNothingKnown is ErrUnavailable of a daemon that stands in for the API and has not read it yet.
-	ErrNothingKnown = fmt.Errorf("%w: nothing is known yet", ErrUnavailable)
+	// ErrNotSynced is ErrUnavailable of a daemon that stands in for the API and has not read it yet.
+	ErrNotSynced = fmt.Errorf("%w: nothing is known yet", ErrUnavailable)
 	// ErrUnknownOutcome means that a write may have taken effect.
 	ErrUnknownOutcome = errors.New("object API write outcome unknown")
 	// ErrGone means that a watch can't resume from its version: list again.
