--- a/internal/objects/objectapi/apitest/faulty.go
+++ b/internal/objects/objectapi/apitest/faulty.go
@@ -28,9 +28,9 @@
 	ReadOnly
 	// Stale answers lists as of the time at which the fault was set, and watches with ErrGone.
 	Stale
-	// Blind holds watches, and writes below "cluster/", back until another fault is set: the daemon does not
+	// NoClusterUpdates holds watches, and writes below "cluster/", back until another fault is set: the daemon does not
 	// learn what others do, while its log works.
-	Blind
+	NoClusterUpdates
 	// Hang answers nothing until the request's context ends or another fault is set.
 	Hang
 )
@@ -165,7 +165,7 @@
 	if err != nil {
 		return objectapi.Object{}, err
 	}
-	if fault == Blind && strings.HasPrefix(key, "cluster/") {
+	if fault == NoClusterUpdates && strings.HasPrefix(key, "cluster/") {
 		a.hold(ctx)
 		return objectapi.Object{}, objectapi.ErrUnknownOutcome
 	}
@@ -201,7 +201,7 @@
 	if err != nil {
 		return objectapi.Batch{}, err
 	}
-	if fault == Blind {
+	if fault == NoClusterUpdates {
 		a.hold(ctx)
 		return objectapi.Batch{}, objectapi.ErrUnavailable
 	}
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -38,7 +38,7 @@
 		if a.entry != owner {
 			a.entry, a.client = owner, c.client(owner)
 		}
-		owner.fault.Set(apitest.Blind)
+		owner.fault.Set(apitest.NoClusterUpdates)
 		time.AfterFunc(6*time.Second, func() { owner.fault.Set(apitest.None) })
 		for _, n := range c.nodes {
 			if n != owner {
