--- a/internal/objects/objectapi/apitest/faulty.go
+++ b/internal/objects/objectapi/apitest/faulty.go
@@ -20,8 +20,8 @@
 	None Fault = iota
 	// Down refuses everything; nothing takes effect.
 	Down
-	// LostAnswers carries writes out and then loses their answers.
-	LostAnswers
+	// LostResponses carries writes out and then loses their answers.
+	LostResponses
 	// LostRequests loses writes before they take effect, without saying so.
 	LostRequests
 	// ReadOnly refuses writes.
@@ -173,7 +173,7 @@
 		return objectapi.Object{}, objectapi.ErrUnknownOutcome
 	}
 	object, err := a.API.Put(ctx, key, value, ifVersion)
-	if fault == LostAnswers {
+	if fault == LostResponses {
 		return objectapi.Object{}, objectapi.ErrUnknownOutcome
 	}
 	return object, err
@@ -189,7 +189,7 @@
 		return 0, objectapi.ErrUnknownOutcome
 	}
 	version, err := a.API.Delete(ctx, key, ifVersion)
-	if fault == LostAnswers {
+	if fault == LostResponses {
 		return 0, objectapi.ErrUnknownOutcome
 	}
 	return version, err
--- a/internal/objects/objectapi/contract_test.go
+++ b/internal/objects/objectapi/contract_test.go
@@ -152,7 +152,7 @@
 		assert.ErrorIs(t, err, objectapi.ErrNotFound)
 	}},
 	{"a lost answer is an unknown outcome", func(ctx context.Context, t *testing.T, h harness) {
-		h.fault.Set(apitest.LostAnswers)
+		h.fault.Set(apitest.LostResponses)
 		_, err := h.api.Put(ctx, "a/1", []byte("one"), objectapi.MustNotExist)
 		assert.ErrorIs(t, err, objectapi.ErrUnknownOutcome)
 		read, err := h.api.Get(ctx, "a/1")
--- a/internal/rookpassd/journal/journal_test.go
+++ b/internal/rookpassd/journal/journal_test.go
@@ -50,7 +50,7 @@
 	}{
 		{"no fault", apitest.None, 0, 100 * time.Millisecond},
 		{"outage", apitest.Down, 10 * time.Second, 13 * time.Second},
-		{"lost answers", apitest.LostAnswers, 10 * time.Second, time.Second},
+		{"lost answers", apitest.LostResponses, 10 * time.Second, time.Second},
 		{"lost requests", apitest.LostRequests, 10 * time.Second, 13 * time.Second},
 		{"read-only", apitest.ReadOnly, 10 * time.Second, 13 * time.Second},
 		{"hang", apitest.Hang, 10 * time.Second, 15 * time.Second},
@@ -187,7 +187,7 @@
 			for i, step := range steps {
 				switch step {
 				case 0:
-					api.Set(apitest.LostAnswers)
+					api.Set(apitest.LostResponses)
 				case 1:
 					api.Set(apitest.LostRequests)
 				case 2:
--- a/internal/rookpassd/spending/spending_test.go
+++ b/internal/rookpassd/spending/spending_test.go
@@ -80,11 +80,11 @@
 		kill bool
 	}{
 		{"no fault", apitest.None, false},
-		{"answers are lost", apitest.LostAnswers, false},
+		{"answers are lost", apitest.LostResponses, false},
 		{"requests are lost", apitest.LostRequests, false},
 		{"outage", apitest.Down, false},
 		{"a daemon dies", apitest.None, true},
-		{"a daemon dies while answers are lost", apitest.LostAnswers, true},
+		{"a daemon dies while answers are lost", apitest.LostResponses, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			testbubble.Run(t, func(t *testing.T) {
--- a/internal/testing/faultmatrix/matrix_test.go
+++ b/internal/testing/faultmatrix/matrix_test.go
@@ -108,7 +108,7 @@
 		return api(apitest.ReadOnly, c.nodes...)
 	}},
 	{name: "object API loses answers", lasts: 2 * time.Second, strike: func(c *cluster, _, _ *node) func() {
-		return api(apitest.LostAnswers, c.nodes...)
+		return api(apitest.LostResponses, c.nodes...)
 	}},
 	{name: "object API loses requests", lasts: 2 * time.Second, strike: func(c *cluster, _, _ *node) func() {
 		return api(apitest.LostRequests, c.nodes...)
@@ -153,7 +153,7 @@
 	}},
 	{name: "owner killed while the object API loses answers", lasts: 2 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
 		c.kill(owner)
-		return api(apitest.LostAnswers, c.nodes...)
+		return api(apitest.LostResponses, c.nodes...)
 	}},
 	{name: "owner frozen while the object API is slow", lasts: 20 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
 		c.fabric.Freeze(owner.name)
