--- a/internal/objects/mirror/pack.go
+++ b/internal/objects/mirror/pack.go
@@ -53,8 +53,8 @@
 	return buffer.Bytes(), nil
 }
 
-// Unpack returns the list that data holds.
-func Unpack(data []byte) (objectapi.Snapshot, error) {
+// DecodeSnapshot returns the list that data holds.
+func DecodeSnapshot(data []byte) (objectapi.Snapshot, error) {
 	var snapshot objectapi.Snapshot
 	reader := io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxListBytes)
 	err := gob.NewDecoder(reader).Decode(&snapshot)
--- a/internal/objects/mirror/rpc.go
+++ b/internal/objects/mirror/rpc.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return objectapi.Snapshot{}, err
 	}
-	snapshot, err := Unpack(reply.Packed)
+	snapshot, err := DecodeSnapshot(reply.Packed)
 	snapshot.Age, snapshot.SinceOutage = reply.Ages.Age, reply.Ages.SinceOutage
 	snapshot.Certain = certainAt(sent, reply.Ages.Certain)
 	return snapshot, err
@@ -164,7 +164,7 @@
 	if err != nil {
 		return objectapi.Snapshot{}, err
 	}
-	return Unpack(reply.Packed)
+	return DecodeSnapshot(reply.Packed)
 }
 
 func (c *Client) list(ctx context.Context, prefix string, timeout time.Duration) (*ListReply, error) {
