--- a/internal/objects/feed/feed.go
+++ b/internal/objects/feed/feed.go
@@ -51,8 +51,8 @@
 // of a slow store.
 const oldCopyPatience = 500 * time.Millisecond
 
-// Feed implements watch.Source. It stays with a source as long as that one answers.
-type Feed struct {
+// FailoverSource implements watch.Source. It stays with a source as long as that one answers.
+type FailoverSource struct {
 	mirrors    func() []NamedMirror
 	direct     Named
 	log        logrus.FieldLogger
@@ -73,12 +73,12 @@
 }
 
 // New returns a feed. mirrors returns the daemons to ask, the best first.
-func New(mirrors func() []NamedMirror, direct Named, log logrus.FieldLogger) *Feed {
-	return &Feed{mirrors: mirrors, direct: direct, log: log, mirrorWait: mirrorWait, newest: map[string]uint64{}}
+func New(mirrors func() []NamedMirror, direct Named, log logrus.FieldLogger) *FailoverSource {
+	return &FailoverSource{mirrors: mirrors, direct: direct, log: log, mirrorWait: mirrorWait, newest: map[string]uint64{}}
 }
 
 // WithMirrorWait sets how long a mirror may keep a watch waiting, and returns the feed.
-func (f *Feed) WithMirrorWait(d time.Duration) *Feed {
+func (f *FailoverSource) WithMirrorWait(d time.Duration) *FailoverSource {
 	f.mirrorWait = d
 	return f
 }
@@ -88,7 +88,7 @@
 
 // List returns a prefix's objects, never as of an earlier version than seen before. Where neither the mirrors
 // nor the store can say, and nothing was seen before, it returns what a mirror knew last.
-func (f *Feed) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
+func (f *FailoverSource) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	sources, current := f.sources()
 	var problems []error
 	var failed sync.Map // names of sources
@@ -136,7 +136,7 @@
 
 // list asks a source for a list. A reader that knows nothing, and could take a mirror's old copy, does not wait for a
 // silent store.
-func (f *Feed) list(ctx context.Context, s source, prefix string) (objectapi.Snapshot, error) {
+func (f *FailoverSource) list(ctx context.Context, s source, prefix string) (objectapi.Snapshot, error) {
 	if s.direct && f.saw(prefix, 0) && f.mirrorsHaveLostIt() {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, oldCopyPatience)
@@ -157,7 +157,7 @@
 
 // race asks the sources in order, the next one when one fails or is silent for stagger, and returns the first
 // good answer with its source, which is empty where there was none. Sources that failed are noted.
-func race[T any](ctx context.Context, f *Feed, sources []source, ask func(context.Context, source) (T, error)) (T, source, error) {
+func race[T any](ctx context.Context, f *FailoverSource, sources []source, ask func(context.Context, source) (T, error)) (T, source, error) {
 	type answer struct {
 		source source
 		value  T
@@ -204,7 +204,7 @@
 }
 
 // stale returns the newest old content of a prefix that any of mostMirrors mirrors has, of those that answer.
-func (f *Feed) stale(ctx context.Context, prefix string, problem error) (objectapi.Snapshot, error) {
+func (f *FailoverSource) stale(ctx context.Context, prefix string, problem error) (objectapi.Snapshot, error) {
 	var newest objectapi.Snapshot
 	var from string
 	answered := 0
@@ -234,7 +234,7 @@
 //
 // The source that answered last may keep the watch waiting. Where it fails, and where wait is 0, the others are asked for
 // what they have at once, so that several VMs that went dark together cost no more than one.
-func (f *Feed) Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error) {
+func (f *FailoverSource) Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error) {
 	prefix := prefixes[0]
 	sources, current := f.sources()
 	if first := sources[0]; wait > 0 && first.Name == current && !first.direct {
@@ -278,7 +278,7 @@
 }
 
 // changes asks one source for the changes of a prefix.
-func (f *Feed) changes(ctx context.Context, s source, prefix string, after uint64, wait time.Duration) (changes, error) {
+func (f *FailoverSource) changes(ctx context.Context, s source, prefix string, after uint64, wait time.Duration) (changes, error) {
 	batch, err := s.Source.Wait(ctx, prefix, after, wait)
 	if errors.Is(err, objectapi.ErrGone) {
 		return changes{gone: true}, nil
@@ -290,7 +290,7 @@
 }
 
 // saw notes a version and tells whether it is as new as any seen before.
-func (f *Feed) saw(prefix string, version uint64) bool {
+func (f *FailoverSource) saw(prefix string, version uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if version < f.newest[prefix] {
--- a/internal/objects/feed/feed_test.go
+++ b/internal/objects/feed/feed_test.go
@@ -55,7 +55,7 @@
 	return objectapi.Batch{Version: s.version}, s.err
 }
 
-func newFeed(direct *source, mirrors ...*source) *feed.Feed {
+func newFeed(direct *source, mirrors ...*source) *feed.FailoverSource {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	list := func() []feed.NamedMirror {
@@ -363,7 +363,7 @@
 func TestCrowdLeavesAStoreThatItsMirrorsHaveLostAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := func(readers, mirrors int) (calls int) {
-			var feeds []*feed.Feed
+			var feeds []*feed.FailoverSource
 			direct := &source{err: objectapi.ErrUnavailable}
 			var lost []*source
 			for range mirrors {
--- a/internal/objects/feed/sources.go
+++ b/internal/objects/feed/sources.go
@@ -48,7 +48,7 @@
 
 // sources returns whom to ask, in order: the one that answered last, the other mirrors, the store itself unless
 // it failed just now. While nobody answers, it names a few of the mirrors only. It also returns who answered last.
-func (f *Feed) sources() ([]source, string) {
+func (f *FailoverSource) sources() ([]source, string) {
 	mirrors := f.mirrors()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,10 +78,10 @@
 }
 
 // directIsDue tells whether the store itself may be asked now. It is called with the lock held.
-func (f *Feed) directIsDue() bool { return f.known == 0 || !time.Now().Before(f.directDue) }
+func (f *FailoverSource) directIsDue() bool { return f.known == 0 || !time.Now().Before(f.directDue) }
 
 // leaveAloneFor returns how long the store is left alone after it has failed now. It is called with the lock held.
-func (f *Feed) leaveAloneFor(now time.Time) time.Duration {
+func (f *FailoverSource) leaveAloneFor(now time.Time) time.Duration {
 	if f.mirrorAnswered.Before(now.Add(-directPause)) {
 		return directAlonePause
 	}
@@ -90,7 +90,7 @@
 
 // mayAsk tells whether a source may be asked now: while sources were tried, mirrors may have said that they have lost the
 // store.
-func (f *Feed) mayAsk(s source) bool {
+func (f *FailoverSource) mayAsk(s source) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !s.direct || f.directIsDue()
@@ -99,7 +99,7 @@
 // tooSoon tells whether the next source, before which so many were asked, is to be asked later than after so many ticks of
 // silence. The store itself is asked no sooner than if every mirror had had its tick: where a fleet starts all mirrors are slow,
 // and each reader's calls to the store have a price.
-func (f *Feed) tooSoon(s source, asked, ticks int) bool {
+func (f *FailoverSource) tooSoon(s source, asked, ticks int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s.direct {
@@ -109,14 +109,14 @@
 }
 
 // mirrorsHaveLostIt tells whether a mirror has just said that it can't read the store either.
-func (f *Feed) mirrorsHaveLostIt() bool {
+func (f *FailoverSource) mirrorsHaveLostIt() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Since(f.mirrorAnswered) < directPause
 }
 
 // noteFailure remembers that the store itself failed, or that a mirror that is in reach can't say.
-func (f *Feed) noteFailure(s source, err error) {
+func (f *FailoverSource) noteFailure(s source, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -131,7 +131,7 @@
 
 // noteFirstList remembers that the store failed a daemon that knows nothing, and tells whether it is to be asked again beside
 // silent mirrors.
-func (f *Feed) noteFirstList(s source) bool {
+func (f *FailoverSource) noteFirstList(s source) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -145,7 +145,7 @@
 
 // noteLoss remembers that a mirror has lost the store. The first of many to say so puts the reader's own question off, each
 // reader's to another time. It is called with the lock held.
-func (f *Feed) noteLoss(now time.Time) {
+func (f *FailoverSource) noteLoss(now time.Time) {
 	first := now.Sub(f.mirrorAnswered) >= directPause
 	f.mirrorAnswered = now
 	if first && f.known > manyMirrors && !now.Before(f.directDue) {
@@ -154,7 +154,7 @@
 }
 
 // noteRound remembers whether any source answered a watch.
-func (f *Feed) noteRound(answered bool) {
+func (f *FailoverSource) noteRound(answered bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if answered {
@@ -165,7 +165,7 @@
 }
 
 // settle notes which source answered; problem tells why those before it did not.
-func (f *Feed) settle(name, before string, problem error) {
+func (f *FailoverSource) settle(name, before string, problem error) {
 	if name == before {
 		return
 	}
