--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -178,7 +178,7 @@
 // watch keeps this daemon's view. The configuration and the servers are read through the store daemons as soon
 // as the layout names them.
 func (f *front) watch(ctx context.Context, group *errgroup.Group) {
-	source := feed.New(f.mirrors(), feed.Named{Name: "platform", Source: single{f.store}}, f.log)
+	source := feed.New(f.mirrors(), feed.NamedSource{Name: "platform", Source: single{f.store}}, f.log)
 	link := watch.NewSharedSource(source)
 	run := func(h watch.Handler, limit time.Duration) error { return f.watcher(link, limit, h).Run(ctx) }
 	group.Go(func() error {
--- a/internal/objects/feed/feed.go
+++ b/internal/objects/feed/feed.go
@@ -27,8 +27,8 @@
 	Stale(ctx context.Context, prefix string) (objectapi.Snapshot, error)
 }
 
-// Named is a source with a name for logs.
-type Named struct {
+// NamedSource is a source with a name for logs.
+type NamedSource struct {
 	Name   string
 	Source Source
 }
@@ -54,7 +54,7 @@
 // FailoverSource implements watch.Source. It stays with a source as long as that one answers.
 type FailoverSource struct {
 	mirrors    func() []NamedMirror
-	direct     Named
+	direct     NamedSource
 	log        logrus.FieldLogger
 	mirrorWait time.Duration
 
@@ -73,7 +73,7 @@
 }
 
 // New returns a feed. mirrors returns the daemons to ask, the best first.
-func New(mirrors func() []NamedMirror, direct Named, log logrus.FieldLogger) *FailoverSource {
+func New(mirrors func() []NamedMirror, direct NamedSource, log logrus.FieldLogger) *FailoverSource {
 	return &FailoverSource{mirrors: mirrors, direct: direct, log: log, mirrorWait: mirrorWait, newest: map[string]uint64{}}
 }
 
--- a/internal/objects/feed/feed_test.go
+++ b/internal/objects/feed/feed_test.go
@@ -65,7 +65,7 @@
 		}
 		return named
 	}
-	return feed.New(list, feed.Named{Name: "direct", Source: direct}, log)
+	return feed.New(list, feed.NamedSource{Name: "direct", Source: direct}, log)
 }
 
 func TestMirrorsComeFirstAndTheStoreLast(t *testing.T) {
@@ -195,7 +195,7 @@
 			all = append(all, c)
 			mirrors = append(mirrors, feed.NamedMirror{Name: string(rune('a' + i)), Mirror: c})
 		}
-		f := feed.New(func() []feed.NamedMirror { return mirrors }, feed.Named{Name: "direct", Source: &source{version: 9}}, log)
+		f := feed.New(func() []feed.NamedMirror { return mirrors }, feed.NamedSource{Name: "direct", Source: &source{version: 9}}, log)
 		_, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
 		lists := 0
--- a/internal/objects/feed/sources.go
+++ b/internal/objects/feed/sources.go
@@ -42,7 +42,7 @@
 
 // source is a mirror or the store itself.
 type source struct {
-	Named
+	NamedSource
 	direct bool
 }
 
@@ -66,13 +66,13 @@
 	}
 	sources := make([]source, 0, len(mirrors)+1)
 	for _, m := range mirrors {
-		sources = append(sources, source{Named: Named{Name: m.Name, Source: m.Mirror}})
+		sources = append(sources, source{NamedSource: NamedSource{Name: m.Name, Source: m.Mirror}})
 		if last := len(sources) - 1; m.Name == f.current {
 			sources[0], sources[last] = sources[last], sources[0]
 		}
 	}
 	if f.directIsDue() {
-		sources = append(sources, source{Named: f.direct, direct: true})
+		sources = append(sources, source{NamedSource: f.direct, direct: true})
 	}
 	return sources, f.current
 }
