--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -75,7 +75,7 @@
 	retiring := &retirements{platform: b.store, nodes: map[string]bool{}, log: b.log}
 	controller := replica.NewController(replica.Options{
 		Store: store, API: b.store, Links: b.links, Retirements: retiring, Log: b.log, Topology: s.Place(), LayoutKey: layoutKey, CandidatesPrefix: candidatesPrefix,
-		FirstStart: s.FirstStart, Tolerance: s.DisksLostAtOnce, DiskBytes: s.DiskBytes,
+		FirstStart: s.FirstStart, Tolerance: s.ToleratedDiskFailures, DiskBytes: s.DiskBytes,
 	})
 	configWait := b.configWait(storeWait, readerShare)
 	mirrors := []*mirror.Mirror{
