--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -61,10 +61,10 @@
 // configWait returns how long a watch of the configuration waits for a change: usual, or a share of the time within which
 // a withdrawn key must be refused, where that is asked.
 func (b *base) configWait(usual time.Duration, share float64) time.Duration {
-	if b.settings.Withdrawal == 0 {
+	if b.settings.MaxRevocationDelay == 0 {
 		return usual
 	}
-	return min(usual, time.Duration(share*float64(b.settings.Withdrawal)))
+	return min(usual, time.Duration(share*float64(b.settings.MaxRevocationDelay)))
 }
 
 // host is the VM that a daemon runs on. Tests put one in memory in its place.
