--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -107,7 +107,7 @@
 	f.gateway = gateway.New(gateway.Options{
 		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, HeaderCodec: platform.Headers{},
 		Log: b.log, Stats: gateway.NewStats(b.metrics), Scheduler: f.gate, BodyBytes: int64(bodyShare * float64(b.settings.MemoryBytes)),
-		ConfigAgeLimits: policy.NewConfigAgeLimits(b.settings.MaxRevocationDelay, b.settings.Change), Quotas: quota.NewClient(b.links, f.homes),
+		ConfigAgeLimits: policy.NewConfigAgeLimits(b.settings.MaxRevocationDelay, b.settings.MaxConfigDelay), Quotas: quota.NewClient(b.links, f.homes),
 	})
 	b.metrics.Gauge("rookpass_connections_opened_total", func() float64 { return float64(f.pool.Opened()) })
 	b.metrics.Gauge("rookpass_connections_reused_total", func() float64 { return float64(f.pool.Reused()) })
