--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -162,7 +162,7 @@
 		Node: m.name, IP: m.ip, DataCentre: m.dataCentre, FirstStart: first, Seeds: w.seeds[:3],
 		FirstPort: 7380, MemoryBytes: 16 << 30, MaxDescriptors: 4096, ToleratedDiskFailures: 1,
 		StoreAddress: storeAddress, StopGrace: 8 * time.Second, Heartbeat: 1200 * time.Millisecond,
-		MaxRevocationDelay: w.withdrawal, MaxConfigDelay: inForce, Evacuation: w.evacuation, Quota: quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
+		MaxRevocationDelay: w.withdrawal, MaxConfigDelay: inForce, MaxEvacuationDelay: w.evacuation, Quota: quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
 	}
 	if m.role == "front" {
 		settings.CallerAddress, settings.ReadyAddress = m.callers(), m.ip+":8141"
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -196,7 +196,7 @@
 		catalog.NewConfigHandler(f.catalog, platform.ConfigPrefix, platform.DecodeConfig, f.log): f.configWait(frontWait, hopShare),
 		servers: frontWait,
 	}
-	if f.settings.Evacuation > 0 {
+	if f.settings.MaxEvacuationDelay > 0 {
 		handlers[newEvacuations(servers)] = frontWait
 	}
 	for h, limit := range handlers {
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -85,8 +85,8 @@
 		mirror.New(platform.RetirementsPrefix, rareWait+answerSlack),
 	}
 	var evacuations []*mirror.Mirror // none where data centres are never evacuated: each watch has a price
-	evacuationWait := time.Duration(evacuationShare * float64(s.Evacuation))
-	if s.Evacuation > 0 {
+	evacuationWait := time.Duration(evacuationShare * float64(s.MaxEvacuationDelay))
+	if s.MaxEvacuationDelay > 0 {
 		evacuations = append(evacuations, mirror.New(platform.EvacuationsPrefix, evacuationWait+answerSlack))
 	}
 	layouts := &handler{prefix: layoutPrefix, apply: controller.ObserveLayout}
