--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -99,13 +99,13 @@
 
 func newFront(b *base) *front {
 	f := &front{base: b, catalog: catalog.New(), balancer: balance.New(b.settings.Node, b.settings.Place()), gate: dispatch.New()}
-	f.pool = upstream.NewPool(b.host.dial, platform.Headers{}, int(serverShare*float64(b.settings.MaxDescriptors)))
+	f.pool = upstream.NewPool(b.host.dial, platform.HeaderCodec{}, int(serverShare*float64(b.settings.MaxDescriptors)))
 	f.pool.OnDial(f.learnWay)
 	f.detour = tunnel.NewDialer(b.host.dial, b.settings.PeerAddress())
 	b.links.WithDetour(f.detour.Dial, diskPatience)
 	f.ledger = ledger.New(b.links, b.settings.Place(), int(cacheShare*float64(b.settings.MemoryBytes)), b.log)
 	f.gateway = gateway.New(gateway.Options{
-		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, HeaderCodec: platform.Headers{},
+		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, HeaderCodec: platform.HeaderCodec{},
 		Log: b.log, Stats: gateway.NewStats(b.metrics), Scheduler: f.gate, BodyBytes: int64(bodyShare * float64(b.settings.MemoryBytes)),
 		ConfigAgeLimits: policy.NewConfigAgeLimits(b.settings.MaxRevocationDelay, b.settings.MaxConfigDelay), Quotas: quota.NewClient(b.links, f.homes),
 	})
