--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -46,7 +46,7 @@
 // TestSettingsAreReadAgainOnSignal: a good file takes effect, a wrong one changes nothing.
 func TestSettingsAreReadAgainOnSignal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
-	process := platformtest.Process{Node: "front-1", Class: "front", IP: "127.0.0.1", DataCentre: "a", StoreAddress: "127.0.0.1:1",
+	process := platformtest.Settings{Node: "front-1", Class: "front", IP: "127.0.0.1", DataCentre: "a", StoreAddress: "127.0.0.1:1",
 		Seeds: []string{"127.0.0.1:2"}, GraceSeconds: 8}
 	assert.NilError(t, platformtest.WriteSettings(path, process))
 	t.Setenv(platformtest.EnvSettings, path)
--- a/internal/testing/soak/world.go
+++ b/internal/testing/soak/world.go
@@ -50,7 +50,7 @@
 // process is one daemon.
 type process struct {
 	node, class, ip, dir string
-	settings             platformtest.Process
+	settings             platformtest.Settings
 	// store and callers are its links to the platform's store and, for a front, from callers.
 	store, callers *proxy
 
@@ -128,7 +128,7 @@
 		return err
 	}
 	p.store = link
-	p.settings = platformtest.Process{Node: p.node, Class: p.class, IP: p.ip, DataCentre: fmt.Sprint("dc", i%3), FirstStart: true,
+	p.settings = platformtest.Settings{Node: p.node, Class: p.class, IP: p.ip, DataCentre: fmt.Sprint("dc", i%3), FirstStart: true,
 		StoreAddress: link.address(), Seeds: seeds[:min(3, len(seeds))], Tolerance: tolerance, GraceSeconds: graceSeconds,
 		WithdrawalMS: int(withdrawal.Milliseconds())}
 	if p.class == "front" {
