--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -17,7 +17,7 @@
 // TestEntriesOfOtherWritersNameNoServer: what another writer puts in the place of a server's entry takes that server out of
 // use on every front, as it comes or found in a list after an outage; the others hold, and a good entry is in force again.
 func TestEntriesOfOtherWritersNameNoServer(t *testing.T) {
-	odd := len(platformtest.OddEntries(workload.NewServer(0, "a:1", workload.NewChecker()).Entry()))
+	odd := len(platformtest.InvalidEntries(workload.NewServer(0, "a:1", workload.NewChecker()).Entry()))
 	for i := range odd {
 		for _, away := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d/store-away-%t", i, away), func(t *testing.T) {
@@ -41,7 +41,7 @@
 		w.platform.SetFault(func(r http.ResponseWriter) { r.WriteHeader(http.StatusServiceUnavailable) }, false)
 	}
 	spoilt := w.servers[1].Entry()
-	w.platform.Set("servers", spoilt.ID.Server, platformtest.OddEntries(spoilt)[odd])
+	w.platform.Set("servers", spoilt.ID.Server, platformtest.InvalidEntries(spoilt)[odd])
 	if away {
 		time.Sleep(faultTime)
 		w.platform.SetFault(nil, false)
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -133,7 +133,7 @@
 	var spoilt []string
 	for i, s := range w.servers[:2] {
 		entry := s.Entry()
-		w.platform.Set("servers", entry.ID.Server, platformtest.OddEntries(entry)[i])
+		w.platform.Set("servers", entry.ID.Server, platformtest.InvalidEntries(entry)[i])
 		w.checker.Leaving(entry.ID.Server)
 		spoilt = append(spoilt, entry.ID.Server)
 	}
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -210,7 +210,7 @@
 func (w *World) spoilEntry(f Fault) {
 	s := w.servers[f.Target%len(w.servers)]
 	entry := s.Entry()
-	odd := platformtest.OddEntries(entry)
+	odd := platformtest.InvalidEntries(entry)
 	w.store.Set("servers", entry.ID.Server, odd[int(f.At/time.Millisecond)%len(odd)])
 	time.Sleep(f.For)
 	w.store.SetServer(s.Entry())
