--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -151,7 +151,7 @@
 		return
 	case fault == Shed:
 		platformtest.Sign(w.Header(), id)
-		platformtest.SayNotRun(w.Header())
+		platformtest.MarkNotRun(w.Header())
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
