--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -135,7 +135,7 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	id := platformtest.CallID(r.Header)
+	id := platformtest.RequestID(r.Header)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
