--- a/cmd/rookpass-plot/main.go
+++ b/cmd/rookpass-plot/main.go
@@ -82,5 +82,5 @@
 	for _, price := range d.Prices {
 		taken[price.Name] += price.Worth
 	}
-	return plots.Day{At: r.At, Site: r.Site, Name: d.Name, Worth: d.Worth, VMs: d.VMs, Broken: d.Broken, Prices: taken}
+	return plots.Day{At: r.At, Site: r.Site, Name: d.Name, Worth: d.Score, VMs: d.VMs, Broken: d.Broken, Prices: taken}
 }
