--- a/cmd/rookpass-plot/main.go
+++ b/cmd/rookpass-plot/main.go
@@ -80,7 +80,7 @@
 func day(r runlog.Run, d runlog.Day) plots.Day {
 	taken := make(map[string]float64, len(d.Deductions))
 	for _, price := range d.Deductions {
-		taken[price.Name] += price.Worth
+		taken[price.Name] += price.Amount
 	}
 	return plots.Day{At: r.At, Site: r.Site, Name: d.Name, Worth: d.Score, VMs: d.VMs, Broken: d.Broken, Prices: taken}
 }
