--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -68,7 +68,7 @@
 	h.Set("Last-Event", to.LastEvent)
 	h.Set("Organisation", to.Organisation)
 }
-func (dialect) Reply(h http.Header, status int) call.ResponseInfo {
+func (dialect) DecodeResponse(h http.Header, status int) call.ResponseInfo {
 	return call.ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "" || status == 421}
 }
 func (dialect) Echo(h http.Header, id string) { h.Set("Id", id) }
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -82,8 +82,8 @@
 	Outgoing(header http.Header) http.Header
 	// Address adds what only the one server that is sent to is told.
 	Address(outgoing http.Header, to ForwardInfo)
-	// Reply decodes a server's answer.
-	Reply(header http.Header, status int) ResponseInfo
+	// DecodeResponse decodes a server's answer.
+	DecodeResponse(header http.Header, status int) ResponseInfo
 	// Echo names the request in an answer of rookpass's own.
 	Echo(header http.Header, id string)
 }
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -195,7 +195,7 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		reply := dialect.Reply(resp.Header, resp.StatusCode)
+		reply := dialect.DecodeResponse(resp.Header, resp.StatusCode)
 		if reply.ID == r.ID {
 			return resp, reply, nil
 		}
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -23,7 +23,7 @@
 // dialect is the least that a pool needs: the header Id names the request.
 type dialect struct{ call.HeaderCodec }
 
-func (dialect) Reply(h http.Header, _ int) call.ResponseInfo {
+func (dialect) DecodeResponse(h http.Header, _ int) call.ResponseInfo {
 	return call.ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Seal") != ""}
 }
 
