--- a/internal/front/gateway/steps.go
+++ b/internal/front/gateway/steps.go
@@ -107,7 +107,7 @@
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body-too-large"}
 	}
 	x.body = body
-	x.header = x.g.dialect.Outgoing(x.r.Header)
+	x.header = x.g.dialect.ForwardedHeaders(x.r.Header)
 	return nil
 }
 
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -77,9 +77,9 @@
 type HeaderCodec interface {
 	// DecodeRequest decodes a caller's request.
 	DecodeRequest(header http.Header) (RequestInfo, error)
-	// Outgoing returns the headers that go along to a server: not those of one connection, nor those that
+	// ForwardedHeaders returns the headers that go along to a server: not those of one connection, nor those that
 	// only rookpass may set.
-	Outgoing(header http.Header) http.Header
+	ForwardedHeaders(header http.Header) http.Header
 	// Address adds what only the one server that is sent to is told.
 	Address(outgoing http.Header, to ForwardInfo)
 	// DecodeResponse decodes a server's answer.
