--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -61,7 +61,7 @@
 	}
 	return info, nil
 }
-func (dialect) ForwardedHeaders(h http.Header) http.Header { return platform.HeaderCodec{}.Outgoing(h) }
+func (dialect) ForwardedHeaders(h http.Header) http.Header { return platform.HeaderCodec{}.ForwardedHeaders(h) }
 func (dialect) Address(h http.Header, to call.ForwardInfo) {
 	h.Set("Left", to.Timeout.String())
 	h.Set("Server", to.Server)
