--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -50,7 +50,7 @@
 // NotRun answers are failures too. A stream goes on behind lastEvent.
 func (x *exchange) try(ctx context.Context, choice *balance.Choice, body [][]byte, lastEvent string) (*upstream.Response, *upstream.Failure) {
 	header := maps.Clone(x.header)
-	x.g.dialect.Address(header, x.address(choice.Server.ID.Server, lastEvent))
+	x.g.dialect.AddForwardInfo(header, x.address(choice.Server.ID.Server, lastEvent))
 	request := &upstream.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: header, Body: body, ID: x.info.ID,
 		Idempotent: x.route.Repeatable(),
--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -61,8 +61,10 @@
 	}
 	return info, nil
 }
-func (dialect) ForwardedHeaders(h http.Header) http.Header { return platform.HeaderCodec{}.ForwardedHeaders(h) }
-func (dialect) Address(h http.Header, to call.ForwardInfo) {
+func (dialect) ForwardedHeaders(h http.Header) http.Header {
+	return platform.HeaderCodec{}.ForwardedHeaders(h)
+}
+func (dialect) AddForwardInfo(h http.Header, to call.ForwardInfo) {
 	h.Set("Left", to.Timeout.String())
 	h.Set("Server", to.Server)
 	h.Set("Last-Event", to.LastEvent)
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -80,8 +80,8 @@
 	// ForwardedHeaders returns the headers that go along to a server: not those of one connection, nor those that
 	// only rookpass may set.
 	ForwardedHeaders(header http.Header) http.Header
-	// Address adds what only the one server that is sent to is told.
-	Address(outgoing http.Header, to ForwardInfo)
+	// AddForwardInfo adds what only the one server that is sent to is told.
+	AddForwardInfo(outgoing http.Header, to ForwardInfo)
 	// DecodeResponse decodes a server's answer.
 	DecodeResponse(header http.Header, status int) ResponseInfo
 	// Echo names the request in an answer of rookpass's own.
