--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -73,7 +73,7 @@
 func (dialect) DecodeResponse(h http.Header, status int) call.ResponseInfo {
 	return call.ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "" || status == 421}
 }
-func (dialect) Echo(h http.Header, id string) { h.Set("Id", id) }
+func (dialect) SetRequestID(h http.Header, id string) { h.Set("Id", id) }
 
 // books is a ledger in memory.
 type books struct {
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -212,7 +212,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	h := x.w.Header()
-	x.g.dialect.Echo(h, x.info.ID)
+	x.g.dialect.SetRequestID(h, x.info.ID)
 	if f.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
 	}
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -84,6 +84,6 @@
 	AddForwardInfo(outgoing http.Header, to ForwardInfo)
 	// DecodeResponse decodes a server's answer.
 	DecodeResponse(header http.Header, status int) ResponseInfo
-	// Echo names the request in an answer of rookpass's own.
-	Echo(header http.Header, id string)
+	// SetRequestID names the request in an answer of rookpass's own.
+	SetRequestID(header http.Header, id string)
 }
