--- a/internal/decide/quota/client.go
+++ b/internal/decide/quota/client.go
@@ -247,7 +247,7 @@
 	go func() {
 		defer cancel()
 		v := vote{address: h.address}
-		v.answer, v.err = peerlink.Call[TakeReply](ctx, p.asker.links.To(h.address), ServiceName+".Take", args)
+		v.answer, v.err = peerlink.Call[TakeReply](ctx, p.asker.links.LinkTo(h.address), ServiceName+".Take", args)
 		if v.err != nil {
 			p.asker.noteSilent(h.address)
 		}
@@ -290,7 +290,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), returnTimeout)
 			defer cancel()
 			// Where it gets lost the organisation has one request less for a moment.
-			_, _ = peerlink.Call[ReturnReply](ctx, g.asker.links.To(address), ServiceName+".Return", &ReturnArgs{g.organisation})
+			_, _ = peerlink.Call[ReturnReply](ctx, g.asker.links.LinkTo(address), ServiceName+".Return", &ReturnArgs{g.organisation})
 		}()
 	}
 }
--- a/internal/front/exchange/relay.go
+++ b/internal/front/exchange/relay.go
@@ -148,7 +148,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := peerlink.Call[struct{}](ctx, r.Links.To(place), ServiceName+".Relay", sums)
+	_, err := peerlink.Call[struct{}](ctx, r.Links.LinkTo(place), ServiceName+".Relay", sums)
 	if err == nil {
 		return
 	}
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -118,7 +118,7 @@
 // ask swaps at the first hub that answers.
 func (h *hubs) ask(ctx context.Context, dataCentre string, daemons int, args *exchange.Args) *exchange.Reply {
 	for _, place := range exchange.HubCandidates(h.disks, place.Map{DataCentre: dataCentre}, daemons) {
-		if reply, err := exchange.Swap(ctx, h.links.To(place), args); err == nil {
+		if reply, err := exchange.Swap(ctx, h.links.LinkTo(place), args); err == nil {
 			return reply
 		}
 	}
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -238,7 +238,7 @@
 	links := peerlink.NewSet(f.host.dial).WithDetour(f.detour.Dial, mirrorPatience)
 	return func() []feed.NamedMirror {
 		source := func(name, address string) feed.NamedMirror {
-			return feed.NamedMirror{Name: name, Mirror: mirror.NewClient(links.To(address))}
+			return feed.NamedMirror{Name: name, Mirror: mirror.NewClient(links.LinkTo(address))}
 		}
 		var sources []feed.NamedMirror
 		l := f.ledger.Layout()
@@ -306,7 +306,7 @@
 		args := &exchange.Args{From: f.settings.PeerAddress(), Daemons: daemons.Read(), Suspects: f.balancer.Suspects(), Failing: f.balancer.Failing(),
 			Demand: f.demand(), Loads: f.balancer.Loads()}
 		places := exchange.HubCandidates(l.Disks(), f.settings.Place(), daemons.Read())
-		reply, err := exchange.Swap(ctx, f.links.To(places[place%len(places)]), args)
+		reply, err := exchange.Swap(ctx, f.links.LinkTo(places[place%len(places)]), args)
 		if err != nil {
 			place++
 			moved = time.Now()
--- a/internal/node/readers.go
+++ b/internal/node/readers.go
@@ -41,7 +41,7 @@
 		}
 		var mirrors []feed.NamedMirror
 		for _, disk := range b.preferred(disks) {
-			mirrors = append(mirrors, feed.NamedMirror{Name: disk.Node, Mirror: mirror.NewClient(links.To(disk.Address))})
+			mirrors = append(mirrors, feed.NamedMirror{Name: disk.Node, Mirror: mirror.NewClient(links.LinkTo(disk.Address))})
 		}
 		return mirrors
 	}
--- a/internal/transport/peerlink/budget_test.go
+++ b/internal/transport/peerlink/budget_test.go
@@ -42,7 +42,7 @@
 		over := atomic.Int64{}
 		for range calls {
 			work.Go(func() {
-				if say(t, set.To("server:1"), time.Second) == nil {
+				if say(t, set.LinkTo("server:1"), time.Second) == nil {
 					over.Add(1)
 				}
 			})
--- a/internal/transport/peerlink/peerlink.go
+++ b/internal/transport/peerlink/peerlink.go
@@ -57,8 +57,8 @@
 	return s.budget.sent
 }
 
-// To returns the link to an address.
-func (s *Pool) To(address string) *Link {
+// LinkTo returns the link to an address.
+func (s *Pool) LinkTo(address string) *Link {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	link := s.links[address]
--- a/internal/transport/peerlink/rest_test.go
+++ b/internal/transport/peerlink/rest_test.go
@@ -49,7 +49,7 @@
 		set := peerlink.NewSet(countOpen(fabric, "client", &open))
 		e := &Echo{}
 		serve(t, fabric, e)
-		link := set.To("server:1")
+		link := set.LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, open.Load(), int64(1), "a program's next turn finds the connection")
@@ -70,7 +70,7 @@
 		var open atomic.Int64
 		e := &Echo{release: make(chan struct{})}
 		serve(t, fabric, e)
-		link := peerlink.NewSet(countOpen(fabric, "client", &open)).To("server:1")
+		link := peerlink.NewSet(countOpen(fabric, "client", &open)).LinkTo("server:1")
 		go func() {
 			time.Sleep(20 * time.Second)
 			close(e.release)
@@ -97,7 +97,7 @@
 	var links []*peerlink.Link
 	text := "hello"
 	for b.Loop() {
-		link := peerlink.NewSet(new(net.Dialer).DialContext).To(listener.Addr().String())
+		link := peerlink.NewSet(new(net.Dialer).DialContext).LinkTo(listener.Addr().String())
 		_, err := peerlink.Call[string](context.Background(), link, "Echo.Say", &text)
 		assert.NilError(b, err)
 		links = append(links, link)
@@ -132,7 +132,7 @@
 		link := peerlink.NewSet(func(ctx context.Context, network, address string) (net.Conn, error) {
 			dials.Add(1)
 			return counted(ctx, network, address)
-		}).To("server:1")
+		}).LinkTo("server:1")
 		bulk := func(size int) {
 			_, err := peerlink.Call[[]byte](t.Context(), link, "Bulk.Say", &size)
 			assert.NilError(t, err)
--- a/internal/turns/ledger/chain.go
+++ b/internal/turns/ledger/chain.go
@@ -81,7 +81,7 @@
 		args := &replica.FetchArgs{Target: replica.Target{Disk: disk.ID, Epoch: current.Epoch}, ID: id}
 		go func() {
 			p := part{slot: slot}
-			p.reply, p.err = peerlink.Call[replica.FetchReply](ctx, l.links.To(disk.Address), replica.ServiceName+".Fetch", args)
+			p.reply, p.err = peerlink.Call[replica.FetchReply](ctx, l.links.LinkTo(disk.Address), replica.ServiceName+".Fetch", args)
 			answers <- p
 		}()
 	}
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -223,7 +223,7 @@
 			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 			defer cancel()
 			a := ack{slot: slot}
-			a.reply, a.err = peerlink.Call[replica.WriteReply](callCtx, l.links.To(disk.Address), replica.ServiceName+".Write", args)
+			a.reply, a.err = peerlink.Call[replica.WriteReply](callCtx, l.links.LinkTo(disk.Address), replica.ServiceName+".Write", args)
 			l.noteAnswer(disk.ID, a.err)
 			r.answers <- a
 		})
--- a/internal/turns/replica/findslot.go
+++ b/internal/turns/replica/findslot.go
@@ -57,7 +57,7 @@
 		defer wg.Done()
 		ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 		defer cancel()
-		reply, err := peerlink.Call[PingReply](ctx, c.links.To(disk.Address), ServiceName+".Ping", &PingArgs{Disk: disk.ID})
+		reply, err := peerlink.Call[PingReply](ctx, c.links.LinkTo(disk.Address), ServiceName+".Ping", &PingArgs{Disk: disk.ID})
 		mu.Lock()
 		defer mu.Unlock()
 		if err == nil && reply.Header.Status == OK {
--- a/internal/turns/replica/takeover.go
+++ b/internal/turns/replica/takeover.go
@@ -93,7 +93,7 @@
 func askPage[Reply any](ctx context.Context, links *peerlink.Pool, from layout.Disk, method string, args any) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	return peerlink.Call[Reply](ctx, links.To(from.Address), ServiceName+"."+method, args)
+	return peerlink.Call[Reply](ctx, links.LinkTo(from.Address), ServiceName+"."+method, args)
 }
 
 // copyMissing copies what is missing, from the nearest disks first, and returns how many records were new here.
--- a/internal/turns/replica/vacate.go
+++ b/internal/turns/replica/vacate.go
@@ -116,7 +116,7 @@
 // bring makes one disk hold some of the records, and returns how many it lacked.
 func (c *Controller) bring(ctx context.Context, l *layout.Layout, disk layout.Disk, records []held, wanted []int) (int, error) {
 	target := Target{Disk: disk.ID, Epoch: l.Epoch}
-	link := c.links.To(disk.Address)
+	link := c.links.LinkTo(disk.Address)
 	sent := 0
 	for len(wanted) > 0 {
 		page := wanted[:min(lackedTurns, len(wanted))]
