--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -111,7 +111,7 @@
 	})
 	b.metrics.Gauge("rookpass_connections_opened_total", func() float64 { return float64(f.pool.Opened()) })
 	b.metrics.Gauge("rookpass_connections_reused_total", func() float64 { return float64(f.pool.Reused()) })
-	b.metrics.Gauge("rookpass_detours_total", func() float64 { return float64(b.links.Seconds()) })
+	b.metrics.Gauge("rookpass_detours_total", func() float64 { return float64(b.links.HedgedCalls()) })
 	b.metrics.Gauge("rookpass_requests_active", func() float64 { return float64(f.gateway.ActiveRequests()) })
 	b.metrics.Gauge("rookpass_turns_waiting", func() float64 { return float64(f.gate.Waiting()) })
 	b.metrics.Gauge("rookpass_turns_running", func() float64 { return float64(f.gate.Running()) })
--- a/internal/transport/peerlink/budget_test.go
+++ b/internal/transport/peerlink/budget_test.go
@@ -50,7 +50,7 @@
 		}
 		work.Wait()
 		assert.Equal(t, over.Load(), int64(calls))
-		sent := set.Seconds()
+		sent := set.HedgedCalls()
 		assert.Assert(t, sent > 0 && sent <= 60+calls/10, "%d of %d calls were sent twice", sent, calls)
 	})
 }
--- a/internal/transport/peerlink/peerlink.go
+++ b/internal/transport/peerlink/peerlink.go
@@ -50,8 +50,8 @@
 	return s
 }
 
-// Seconds returns how many calls were sent over a second path.
-func (s *Pool) Seconds() int {
+// HedgedCalls returns how many calls were sent over a second path.
+func (s *Pool) HedgedCalls() int {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	return s.budget.sent
