--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -102,7 +102,7 @@
 	f.pool = upstream.NewPool(b.host.dial, platform.HeaderCodec{}, int(serverShare*float64(b.settings.MaxDescriptors)))
 	f.pool.OnDial(f.learnWay)
 	f.detour = tunnel.NewDialer(b.host.dial, b.settings.PeerAddress())
-	b.links.WithDetour(f.detour.Dial, diskPatience)
+	b.links.WithFallback(f.detour.Dial, diskPatience)
 	f.ledger = ledger.New(b.links, b.settings.Place(), int(cacheShare*float64(b.settings.MemoryBytes)), b.log)
 	f.gateway = gateway.New(gateway.Options{
 		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, HeaderCodec: platform.HeaderCodec{},
@@ -235,7 +235,7 @@
 // first differs from front to front, so that each serves a share. Before the layout is known, the seeds stand in.
 func (f *front) mirrors() func() []feed.NamedMirror {
 	// Apart from the ledger's: a watch that hangs must not break its calls.
-	links := peerlink.NewSet(f.host.dial).WithDetour(f.detour.Dial, mirrorPatience)
+	links := peerlink.NewSet(f.host.dial).WithFallback(f.detour.Dial, mirrorPatience)
 	return func() []feed.NamedMirror {
 		source := func(name, address string) feed.NamedMirror {
 			return feed.NamedMirror{Name: name, Mirror: mirror.NewClient(links.LinkTo(address))}
--- a/internal/transport/peerlink/budget_test.go
+++ b/internal/transport/peerlink/budget_test.go
@@ -36,7 +36,7 @@
 		})
 		var direct, detour atomic.Int64
 		second := dialer(fabric, "helper", &detour)
-		set := peerlink.NewSet(dialer(fabric, "client", &direct)).WithDetour(second, 100*time.Millisecond)
+		set := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(second, 100*time.Millisecond)
 		const calls = 2000
 		var work sync.WaitGroup
 		over := atomic.Int64{}
--- a/internal/transport/peerlink/peerlink.go
+++ b/internal/transport/peerlink/peerlink.go
@@ -43,9 +43,9 @@
 	return &Pool{dial: dial, budget: newBudget(), links: map[string]*Link{}}
 }
 
-// WithDetour makes calls that have no answer after patience be sent over a detour as well, and returns the
+// WithFallback makes calls that have no answer after patience be sent over a detour as well, and returns the
 // set. Every call must be idempotent.
-func (s *Pool) WithDetour(detour network.DialContext, patience time.Duration) *Pool {
+func (s *Pool) WithFallback(detour network.DialContext, patience time.Duration) *Pool {
 	s.detour, s.patience = detour, patience
 	return s
 }
--- a/internal/transport/peerlink/peerlink_test.go
+++ b/internal/transport/peerlink/peerlink_test.go
@@ -105,7 +105,7 @@
 		e := &Echo{}
 		serve(t, fabric, e)
 		var direct, detour atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithDetour(dialer(fabric, "helper", &detour), 100*time.Millisecond).LinkTo("server:1")
+		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &detour), 100*time.Millisecond).LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
 		assert.Equal(t, detour.Load(), int64(0))
 		fabric.Freeze("client")
@@ -131,7 +131,7 @@
 		serve(t, fabric, &Echo{})
 		fabric.Cut("client", "server")
 		var direct, detour atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithDetour(dialer(fabric, "helper", &detour), time.Hour).LinkTo("server:1")
+		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &detour), time.Hour).LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
 		fabric.Cut("helper", "server")
 		assert.ErrorIs(t, say(t, link, time.Second), peerlink.ErrUnreachable)
