--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -322,7 +322,7 @@
 		f.balancer.SetPeerLoads(reply.Loads)
 		f.balancer.SetPeerDemand(reply.Demand)
 		f.gate.SetPeerDemand(reply.Demand)
-		f.detour.SetHelpers(reply.Peers)
+		f.detour.SetRelays(reply.Peers)
 	}
 	return ctx.Err()
 }
--- a/internal/transport/tunnel/tunnel.go
+++ b/internal/transport/tunnel/tunnel.go
@@ -50,8 +50,8 @@
 	return d
 }
 
-// SetHelpers tells which daemons may carry connections.
-func (d *Dialer) SetHelpers(addresses []string) { d.helpers.Store(&addresses) }
+// SetRelays tells which daemons may carry connections.
+func (d *Dialer) SetRelays(addresses []string) { d.helpers.Store(&addresses) }
 
 // Dial connects to an address through one of the helpers.
 func (d *Dialer) Dial(ctx context.Context, kind, address string) (net.Conn, error) {
--- a/internal/transport/tunnel/tunnel_test.go
+++ b/internal/transport/tunnel/tunnel_test.go
@@ -51,7 +51,7 @@
 func TestConnectionIsCarriedBothWays(t *testing.T) {
 	target := echoServer(t)
 	d := tunnel.NewDialer((&net.Dialer{}).DialContext, "self")
-	d.SetHelpers([]string{"127.0.0.1:1", helper(t, func(a string) bool { return a == target })})
+	d.SetRelays([]string{"127.0.0.1:1", helper(t, func(a string) bool { return a == target })})
 	conn, err := d.Dial(context.Background(), "tcp", target)
 	assert.NilError(t, err)
 	_, err = io.WriteString(conn, "hello")
@@ -67,7 +67,7 @@
 func TestOnlyDaemonsAreReached(t *testing.T) {
 	target := echoServer(t)
 	d := tunnel.NewDialer((&net.Dialer{}).DialContext, "self")
-	d.SetHelpers([]string{helper(t, func(string) bool { return false })})
+	d.SetRelays([]string{helper(t, func(string) bool { return false })})
 	conn, err := d.Dial(context.Background(), "tcp", target)
 	assert.NilError(t, err)
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -77,7 +77,7 @@
 
 func TestNoHelperIsAnError(t *testing.T) {
 	d := tunnel.NewDialer((&net.Dialer{}).DialContext, "self")
-	d.SetHelpers([]string{"self"})
+	d.SetRelays([]string{"self"})
 	_, err := d.Dial(context.Background(), "tcp", "127.0.0.1:1")
 	assert.ErrorContains(t, err, "no daemon carries a connection")
 }
