--- a/internal/decide/quota/client_test.go
+++ b/internal/decide/quota/client_test.go
@@ -98,7 +98,7 @@
 func TestTwoHomesMayBeGone(t *testing.T) {
 	for _, strike := range []func(f *fleet, host string){
 		func(f *fleet, host string) { f.fabric.Kill(host) },
-		func(f *fleet, host string) { f.fabric.Cut("front", host) },
+		func(f *fleet, host string) { f.fabric.Partition("front", host) },
 		func(f *fleet, host string) { f.fabric.Freeze(host) },
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -123,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, small)
 		for i := range 4 {
-			f.fabric.Cut("front", storeName(i))
+			f.fabric.Partition("front", storeName(i))
 		}
 		_, err := f.take(f.asker, true)
 		assert.ErrorIs(t, err, quota.ErrUnavailable)
@@ -155,7 +155,7 @@
 		_, err := f.take(f.asker, true)
 		assert.Assert(t, errors.As(err, &first), "%v", err)
 		for i := range 3 {
-			f.fabric.Cut("front", storeName(i))
+			f.fabric.Partition("front", storeName(i))
 		}
 		_, err = f.take(f.asker, true)
 		assert.Assert(t, errors.As(err, &over), "without asking: %v", err)
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -245,7 +245,7 @@
 // cut separates a daemon from some hosts for a time.
 func (w *world) cut(m *member, hosts []string, d time.Duration) {
 	for _, h := range hosts {
-		w.fabric.Cut(m.host, h)
+		w.fabric.Partition(m.host, h)
 	}
 	time.Sleep(d)
 	for _, h := range hosts {
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -42,7 +42,7 @@
 		time.AfterFunc(6*time.Second, func() { owner.fault.Set(apitest.None) })
 		for _, n := range c.nodes {
 			if n != owner {
-				c.fabric.Cut(owner.name, n.name)
+				c.fabric.Partition(owner.name, n.name)
 				time.AfterFunc(6*time.Second, func() { c.fabric.Heal(owner.name, n.name) })
 			}
 		}
--- a/internal/testing/faultmatrix/matrix_test.go
+++ b/internal/testing/faultmatrix/matrix_test.go
@@ -75,7 +75,7 @@
 	{name: "owner cut from its peers", lasts: 5 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
 		for _, n := range c.nodes {
 			if n != owner {
-				c.fabric.Cut(owner.name, n.name)
+				c.fabric.Partition(owner.name, n.name)
 			}
 		}
 		return func() {
@@ -85,11 +85,11 @@
 		}
 	}},
 	{name: "entry and owner cut for a moment", lasts: 100 * time.Millisecond, strike: func(c *cluster, owner, entry *node) func() {
-		c.fabric.Cut(owner.name, entry.name)
+		c.fabric.Partition(owner.name, entry.name)
 		return func() { c.fabric.Heal(owner.name, entry.name) }
 	}},
 	{name: "callers cut from the entry", lasts: time.Second, strike: func(c *cluster, _, entry *node) func() {
-		c.fabric.Cut(callerHost, entry.name)
+		c.fabric.Partition(callerHost, entry.name)
 		return func() { c.fabric.Heal(callerHost, entry.name) }
 	}},
 	{name: "owner cut from the object API", lasts: 15 * time.Second, strike: func(_ *cluster, owner, _ *node) func() {
@@ -148,7 +148,7 @@
 		}
 	}},
 	{name: "owner cut from the backends", lasts: 2 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
-		c.fabric.Cut(owner.name, backendHost)
+		c.fabric.Partition(owner.name, backendHost)
 		return func() { c.fabric.Heal(owner.name, backendHost) }
 	}},
 	{name: "owner killed while the object API loses answers", lasts: 2 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
--- a/internal/transport/network/memnet/memnet.go
+++ b/internal/transport/network/memnet/memnet.go
@@ -184,8 +184,8 @@
 	return [2]string{a, b}
 }
 
-// Cut ends all connections between two hosts and refuses new ones until Heal.
-func (f *Fabric) Cut(a, b string) {
+// Partition ends all connections between two hosts and refuses new ones until Heal.
+func (f *Fabric) Partition(a, b string) {
 	f.mu.Lock()
 	f.cuts[pair(a, b)] = true
 	f.mu.Unlock()
--- a/internal/transport/peerlink/peerlink_test.go
+++ b/internal/transport/peerlink/peerlink_test.go
@@ -74,7 +74,7 @@
 			assert.NilError(t, say(t, link, time.Second))
 		}
 		assert.Equal(t, dials.Load(), int64(1))
-		fabric.Cut("client", "server")
+		fabric.Partition("client", "server")
 		assert.ErrorIs(t, say(t, link, time.Second), peerlink.ErrUnreachable)
 		fabric.Heal("client", "server")
 		time.Sleep(time.Second)
@@ -129,11 +129,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		serve(t, fabric, &Echo{})
-		fabric.Cut("client", "server")
+		fabric.Partition("client", "server")
 		var direct, detour atomic.Int64
 		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &detour), time.Hour).LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
-		fabric.Cut("helper", "server")
+		fabric.Partition("helper", "server")
 		assert.ErrorIs(t, say(t, link, time.Second), peerlink.ErrUnreachable)
 	})
 }
--- a/internal/turns/ledger/ledger_test.go
+++ b/internal/turns/ledger/ledger_test.go
@@ -114,7 +114,7 @@
 func TestMinorityThatMissedATurn(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
-		c.fabric.Cut("front-1", node(2))
+		c.fabric.Partition("front-1", node(2))
 		keep(t, c.ledger("front-1"), programs)
 		c.fabric.Heal("front-1", node(2))
 		c.wipe(node(0))
@@ -212,7 +212,7 @@
 func TestRetirementWithoutASpare(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 5, 1)
-		c.fabric.Cut("front-1", node(0))
+		c.fabric.Partition("front-1", node(0))
 		keep(t, c.ledger("front-1"), programs)
 		c.fabric.Heal("front-1", node(0))
 		old := c.ledger("front-old")
@@ -251,9 +251,9 @@
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 4, 1)
 		keep(t, c.ledger("front-1"), programs)
-		c.fabric.Cut(node(1), node(2))
-		c.fabric.Cut(node(1), node(3))
-		c.fabric.Cut(node(1), node(0))
+		c.fabric.Partition(node(1), node(2))
+		c.fabric.Partition(node(1), node(3))
+		c.fabric.Partition(node(1), node(0))
 		c.retire(node(1))
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, c.current().Slots[slices.IndexFunc(c.current().Slots, func(s layout.Slot) bool { return s.Disk.Node == node(1) })].Leaving)
@@ -420,7 +420,7 @@
 			var granted atomic.Int64
 			for i := range 12 {
 				host := fmt.Sprintf("front-%d", i)
-				c.fabric.Cut(host, node(i%3))
+				c.fabric.Partition(host, node(i%3))
 				l := c.ledger(host)
 				wg.Go(func() {
 					if _, err := l.Reserve(within(t, 5*time.Second), reserved("p", fmt.Sprintf("t%d", i), 100), 400); err == nil {
--- a/internal/turns/ledger/losses_test.go
+++ b/internal/turns/ledger/losses_test.go
@@ -89,7 +89,7 @@
 			*spares++
 			c.start(fmt.Sprint("spare-", *spares), false)
 		case 3: // cut off from the front
-			c.fabric.Cut("front-1", name)
+			c.fabric.Partition("front-1", name)
 			time.Sleep(time.Second)
 			c.fabric.Heal("front-1", name)
 		case 4: // emptied, then gone for good
