--- a/internal/testing/faultmatrix/cluster_test.go
+++ b/internal/testing/faultmatrix/cluster_test.go
@@ -222,7 +222,7 @@
 // boot starts a node's daemon.
 func (c *cluster) boot(n *node) {
 	c.t.Helper()
-	c.fabric.Revive(n.name)
+	c.fabric.Restart(n.name)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d, err := daemon.New(c.settings(n), memnet.Host{Fabric: c.fabric, Name: n.name}, log, &telemetry.Tracing{}, rand.New(rand.NewPCG(c.random.Uint64(), 0)))
--- a/internal/transport/network/memnet/memnet.go
+++ b/internal/transport/network/memnet/memnet.go
@@ -199,8 +199,8 @@
 	delete(f.cuts, pair(a, b))
 }
 
-// Revive lets a killed host connect again, as a new process.
-func (f *Fabric) Revive(host string) {
+// Restart lets a killed host connect again, as a new process.
+func (f *Fabric) Restart(host string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.dead, host)
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -89,7 +89,7 @@
 
 // start runs a store daemon on what its folder holds.
 func (c *cluster) start(name string, first bool) {
-	c.fabric.Revive(name)
+	c.fabric.Restart(name)
 	dial := dialFrom(c.fabric, name)
 	store, err := replica.OpenStore(c.folder(name), layout.Disk{Node: name, Address: name + ":1", DataCentre: name}, c.log.WithField("node", name))
 	assert.NilError(c.t, err)
