--- a/internal/objects/mirror/pack.go
+++ b/internal/objects/mirror/pack.go
@@ -18,9 +18,9 @@
 	data    []byte
 }
 
-// Packed returns the copy as it was when the API answered last, packed for the way; nothing where there is none. It is
+// EncodedSnapshot returns the copy as it was when the API answered last, packed for the way; nothing where there is none. It is
 // shared: nobody may change it.
-func (m *Mirror) Packed() ([]byte, error) {
+func (m *Mirror) EncodedSnapshot() ([]byte, error) {
 	m.packing.Lock() // apart from mu, so that watches go on meanwhile
 	defer m.packing.Unlock()
 	snapshot, known := m.Stale()
--- a/internal/objects/mirror/rpc.go
+++ b/internal/objects/mirror/rpc.go
@@ -104,7 +104,7 @@
 	var err error
 	reply.Ages, err = m.Ages()
 	reply.Outcome = outcomeOf(err)
-	reply.Packed, err = m.Packed()
+	reply.Packed, err = m.EncodedSnapshot()
 	return err
 }
 
