--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -132,7 +132,7 @@
 			// The copy only helps where the platform's store is away; the disk's turns matter more.
 			b.log.WithFields(logrus.Fields{"event": "mirror-load-failed", "file": path, "error": err}).Error("saved copy not read")
 		}
-		group.Go(func() error { return mirrors[i].Save(ctx, path, b.log) })
+		group.Go(func() error { return mirrors[i].SavePeriodically(ctx, path, b.log) })
 	}
 	group.Go(func() error { return controller.Run(ctx) })
 	group.Go(func() error {
--- a/internal/objects/mirror/file.go
+++ b/internal/objects/mirror/file.go
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// Save writes the copy to the disk whenever it has changed, until ctx ends.
-func (m *Mirror) Save(ctx context.Context, path string, log logrus.FieldLogger) error {
+// SavePeriodically writes the copy to the disk whenever it has changed, until ctx ends.
+func (m *Mirror) SavePeriodically(ctx context.Context, path string, log logrus.FieldLogger) error {
 	saved := m.seen()
 	for wait.For(ctx, savePause) == nil {
 		if m.seen() == saved {
