--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -21,7 +21,7 @@
 		"calm":                  func(*world) { time.Sleep(darkTime) },
 		"fronts-start":          func(w *world) { w.restartAll(w.fronts) },
 		"store-daemons-start":   func(w *world) { w.restartAll(w.stores) },
-		"history-forgotten":     func(w *world) { w.platform.Forget(); time.Sleep(darkTime) },
+		"history-forgotten":     func(w *world) { w.platform.Compact(); time.Sleep(darkTime) },
 		"store-away-afterwards": func(w *world) { time.Sleep(time.Second); w.dark(outages["resets"]) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -96,7 +96,7 @@
 		{"platform silent", store(func(http.ResponseWriter) { time.Sleep(faultTime) }, false), -1, true},
 		{"platform loses answers", store(func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, true), -1, true},
 		{"platform forgets its history", func(w *world) {
-			w.platform.Forget()
+			w.platform.Compact()
 			time.Sleep(faultTime)
 		}, -1, false},
 		{"servers hang", server(workload.Hang), -1, false},
--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -38,7 +38,7 @@
 	"store daemon frozen":                   func(w *world) { w.freeze(w.stores[0], 6*time.Second) },
 	"all started again while it is silent":  func(w *world) { w.darkWith(outages["is silent"], func() { w.restartAll(w.members()) }) },
 	"fronts started again while it resets":  func(w *world) { w.darkWith(outages["resets"], func() { w.restartAll(w.fronts) }) },
-	"history forgotten behind a short dark": func(w *world) { w.darkWith(outages["resets"], w.platform.Forget) },
+	"history forgotten behind a short dark": func(w *world) { w.darkWith(outages["resets"], w.platform.Compact) },
 }
 
 func (w *world) dark(fault func(http.ResponseWriter)) { w.darkWith(fault, func() {}) }
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -166,7 +166,7 @@
 func (w *World) strikeStore(f Fault) {
 	switch f.Kind {
 	case StoreForget:
-		w.store.Forget()
+		w.store.Compact()
 		return
 	case StoreDown:
 		w.store.SetFault(func(r http.ResponseWriter) { r.WriteHeader(http.StatusServiceUnavailable) }, false)
