--- a/internal/objects/mirror/file.go
+++ b/internal/objects/mirror/file.go
@@ -47,7 +47,7 @@
 		if m.seen() == saved {
 			continue
 		}
-		snapshot, _ := m.Stale()
+		snapshot, _ := m.LastKnown()
 		if err := write(path, snapshot); err != nil {
 			log.WithFields(logrus.Fields{"event": "mirror-save-failed", "file": path, "error": err}).Warn("copy not saved")
 			continue
--- a/internal/objects/mirror/mirror.go
+++ b/internal/objects/mirror/mirror.go
@@ -209,8 +209,8 @@
 	return max(time.Since(m.regained), 1) // 0 would tell of none
 }
 
-// Stale returns the copy as it was when the API answered last, and whether there is one.
-func (m *Mirror) Stale() (objectapi.Snapshot, bool) {
+// LastKnown returns the copy as it was when the API answered last, and whether there is one.
+func (m *Mirror) LastKnown() (objectapi.Snapshot, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.snapshot(), m.version > 0
--- a/internal/objects/mirror/mirror_test.go
+++ b/internal/objects/mirror/mirror_test.go
@@ -22,7 +22,7 @@
 
 // list returns a mirror's copy while it may be told as certain.
 func list(m *mirror.Mirror) (objectapi.Snapshot, error) {
-	snapshot, _ := m.Stale()
+	snapshot, _ := m.LastKnown()
 	_, err := m.Ages()
 	return snapshot, err
 }
@@ -55,7 +55,7 @@
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable, "it grew too old while the reader waited")
 		_, err = list(m)
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable)
-		snapshot, known := m.Stale()
+		snapshot, known := m.LastKnown()
 		assert.Assert(t, known)
 		assert.Equal(t, snapshot.Version, uint64(5))
 		m.Confirm(6, time.Now())
--- a/internal/objects/mirror/pack.go
+++ b/internal/objects/mirror/pack.go
@@ -23,7 +23,7 @@
 func (m *Mirror) EncodedSnapshot() ([]byte, error) {
 	m.packing.Lock() // apart from mu, so that watches go on meanwhile
 	defer m.packing.Unlock()
-	snapshot, known := m.Stale()
+	snapshot, known := m.LastKnown()
 	if !known {
 		return nil, nil
 	}
