--- a/internal/objects/feed/feed.go
+++ b/internal/objects/feed/feed.go
@@ -24,7 +24,7 @@
 // Mirror is a source that may know old content where it knows nothing certain.
 type Mirror interface {
 	Source
-	Stale(ctx context.Context, prefix string) (objectapi.Snapshot, error)
+	LastKnown(ctx context.Context, prefix string) (objectapi.Snapshot, error)
 }
 
 // NamedSource is a source with a name for logs.
@@ -212,7 +212,7 @@
 		if answered == mostMirrors {
 			break
 		}
-		snapshot, err := m.Mirror.Stale(ctx, prefix)
+		snapshot, err := m.Mirror.LastKnown(ctx, prefix)
 		if err == nil {
 			answered++
 		}
--- a/internal/objects/feed/feed_test.go
+++ b/internal/objects/feed/feed_test.go
@@ -28,7 +28,7 @@
 	old uint64
 }
 
-func (s *source) Stale(context.Context, string) (objectapi.Snapshot, error) {
+func (s *source) LastKnown(context.Context, string) (objectapi.Snapshot, error) {
 	if s.old == 0 {
 		return objectapi.Snapshot{}, objectapi.ErrUnavailable
 	}
