--- a/internal/objects/mirror/rpc.go
+++ b/internal/objects/mirror/rpc.go
@@ -155,8 +155,8 @@
 	return sent.Add(-age)
 }
 
-// Stale returns the copy of a prefix though it may be an old one; ErrUnavailable means that there is none.
-func (c *Client) Stale(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
+// LastKnown returns the copy of a prefix though it may be an old one; ErrUnavailable means that there is none.
+func (c *Client) LastKnown(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	reply, err := c.list(ctx, prefix, answerMargin) // one mirror after the other is asked: a dark one must not hold up for long
 	if err == nil && len(reply.Packed) == 0 {
 		err = objectapi.ErrUnavailable
