--- a/internal/objects/watch/watch.go
+++ b/internal/objects/watch/watch.go
@@ -33,8 +33,8 @@
 // WatermarkHandler is a Handler that also wants to know up to when its copy certainly holds every change.
 type WatermarkHandler interface {
 	Handler
-	// Certain tells that every change made before a time has been seen. It follows Confirm.
-	Certain(at time.Time)
+	// Watermark tells that every change made before a time has been seen. It follows Confirm.
+	Watermark(at time.Time)
 }
 
 // Source answers lists and watches: the object API, or what stands in for it.
@@ -300,6 +300,6 @@
 	w.confirmed.Store(&at)
 	handler.Confirm(version, at)
 	if h, ok := handler.(WatermarkHandler); ok && !certain.IsZero() {
-		h.Certain(certain)
+		h.Watermark(certain)
 	}
 }
