--- a/internal/objects/mirror/mirror.go
+++ b/internal/objects/mirror/mirror.go
@@ -114,8 +114,8 @@
 	m.advance(version)
 }
 
-// Certain implements watch.CertainHandler.
-func (m *Mirror) Certain(at time.Time) {
+// Watermark implements watch.CertainHandler.
+func (m *Mirror) Watermark(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if at.After(m.certain) {
--- a/internal/objects/mirror/mirror_test.go
+++ b/internal/objects/mirror/mirror_test.go
@@ -222,7 +222,7 @@
 		m := mirror.New("k/", time.Hour)
 		m.Reset([]objectapi.Object{object("a", 3)}, 5)
 		m.Confirm(5, time.Now())
-		m.Certain(time.Now())
+		m.Watermark(time.Now())
 		confirmed := time.Now()
 		l, err := fabric.Listen("store", "store:1")
 		assert.NilError(t, err)
