--- a/internal/front/catalog/view.go
+++ b/internal/front/catalog/view.go
@@ -83,8 +83,8 @@
 // Confirm implements watch.Handler.
 func (h *ConfigHandler) Confirm(uint64, time.Time) {}
 
-// Certain implements watch.CertainHandler.
-func (h *ConfigHandler) Certain(at time.Time) {
+// Watermark implements watch.CertainHandler.
+func (h *ConfigHandler) Watermark(at time.Time) {
 	last := h.catalog.certain.Load()
 	if h.unread || last != nil && !at.After(*last) {
 		return
--- a/internal/front/gateway/organisation_test.go
+++ b/internal/front/gateway/organisation_test.go
@@ -47,7 +47,7 @@
 	r.config.Version++
 	r.config.RequireKeys, r.config.Organisations = true, organisations
 	r.configs.Change(objectapi.Event{Object: objectapi.Object{Key: "c/main"}})
-	r.configs.Certain(time.Now().Add(-age))
+	r.configs.Watermark(time.Now().Add(-age))
 }
 
 func organisation(name string, keys ...string) catalog.Organisation {
