--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -39,5 +39,5 @@
 // Confirm implements watch.Handler.
 func (e *evacuations) Confirm(uint64, time.Time) {}
 
-// Lost implements watch.Handler. What is known stays in force.
-func (e *evacuations) Lost() {}
+// SourceUnavailable implements watch.Handler. What is known stays in force.
+func (e *evacuations) SourceUnavailable() {}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -175,7 +175,7 @@
 }
 
 func (h *handler) Confirm(uint64, time.Time) {}
-func (h *handler) Lost()                     {}
+func (h *handler) SourceUnavailable()        {}
 
 // ignoreEnd drops the error of a controller that ended because its context did.
 func ignoreEnd(err error) error {
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -183,9 +183,9 @@
 	h.second.Confirm(version, at)
 }
 
-func (h both) Lost() {
-	h.first.Lost()
-	h.second.Lost()
+func (h both) SourceUnavailable() {
+	h.first.SourceUnavailable()
+	h.second.SourceUnavailable()
 }
 
 // retirements implements replica.Retirements from the platform's objects.
--- a/internal/objects/watch/watch.go
+++ b/internal/objects/watch/watch.go
@@ -26,8 +26,8 @@
 	// Confirm tells that every change up to version has been seen, as the API said at a time. It is called after each
 	// answer, also when nothing changed.
 	Confirm(version uint64, at time.Time)
-	// Lost tells that the API stopped answering; the next call is Confirm or Reset.
-	Lost()
+	// SourceUnavailable tells that the API stopped answering; the next call is Confirm or Reset.
+	SourceUnavailable()
 }
 
 // WatermarkHandler is a Handler that also wants to know up to when its copy certainly holds every change.
@@ -183,7 +183,7 @@
 // fail tells the handlers and the log that the source does not answer.
 func (w *Watcher) fail(err error) {
 	for _, handler := range w.handlers {
-		handler.Lost()
+		handler.SourceUnavailable()
 	}
 	w.noteFailure(err)
 }
@@ -233,7 +233,7 @@
 	oldest, stale, age := snapshots[0].Version, false, w.Age()
 	for i, handler := range w.handlers {
 		if missed(snapshots[i].SinceOutage, age) {
-			handler.Lost()
+			handler.SourceUnavailable()
 		}
 		handler.Reset(snapshots[i].Objects, snapshots[i].Version)
 		if !snapshots[i].Stale {
@@ -275,7 +275,7 @@
 func (w *Watcher) take(batch objectapi.Batch) {
 	if missed(batch.SinceOutage, w.Age()) {
 		for _, handler := range w.handlers {
-			handler.Lost()
+			handler.SourceUnavailable()
 		}
 	}
 	for _, handler := range w.handlers {
--- a/internal/objects/watch/watch_test.go
+++ b/internal/objects/watch/watch_test.go
@@ -45,7 +45,7 @@
 }
 
 func (c *copied) Confirm(version uint64, at time.Time) { c.version, c.at = version, at }
-func (c *copied) Lost()                                { c.lost++ }
+func (c *copied) SourceUnavailable()                   { c.lost++ }
 
 func TestWatchCatchesUp(t *testing.T) {
 	for _, row := range []struct {
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -201,7 +201,7 @@
 }
 func (o observer) Change(event objectapi.Event) { o.controller.ObserveLayout(event.Object) }
 func (o observer) Confirm(uint64, time.Time)    {}
-func (o observer) Lost()                        {}
+func (o observer) SourceUnavailable()           {}
 
 // retirements implements replica.Retirements by the cluster's maps.
 type retirements struct{ c *cluster }
