--- a/internal/front/catalog/entries_test.go
+++ b/internal/front/catalog/entries_test.go
@@ -87,17 +87,17 @@
 			l.Confirm(5, time.Now())
 		},
 		"after an outage": func(l *list) {
-			l.Lost()
+			l.SourceUnavailable()
 			time.Sleep(4 * time.Second)
 			l.change(5, at("a", odd, 5))
 		},
 		"for a missing entry": func(l *list) {
-			l.Lost()
+			l.SourceUnavailable()
 			l.Change(gone("a"))
 			l.change(5, at("a", odd, 5))
 		},
 		"for a held entry": func(l *list) {
-			l.Lost()
+			l.SourceUnavailable()
 			time.Sleep(4 * time.Second)
 			l.Change(gone("a"))
 			l.Confirm(4, time.Now())
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Lost implements watch.Handler.
-func (h *ServersHandler) Lost() {
+// SourceUnavailable implements watch.Handler.
+func (h *ServersHandler) SourceUnavailable() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.lost {
--- a/internal/front/catalog/view.go
+++ b/internal/front/catalog/view.go
@@ -92,8 +92,8 @@
 	h.catalog.certain.Store(&at)
 }
 
-// Lost implements watch.Handler.
-func (h *ConfigHandler) Lost() {}
+// SourceUnavailable implements watch.Handler.
+func (h *ConfigHandler) SourceUnavailable() {}
 
 func (h *ConfigHandler) apply(object objectapi.Object) {
 	config, holds, err := h.decode(object)
--- a/internal/objects/mirror/mirror.go
+++ b/internal/objects/mirror/mirror.go
@@ -140,8 +140,8 @@
 	m.wake()
 }
 
-// Lost implements watch.Handler.
-func (m *Mirror) Lost() {
+// SourceUnavailable implements watch.Handler.
+func (m *Mirror) SourceUnavailable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lost = true
--- a/internal/objects/mirror/mirror_test.go
+++ b/internal/objects/mirror/mirror_test.go
@@ -37,7 +37,7 @@
 	snapshot, err := list(m)
 	assert.NilError(t, err)
 	assert.Equal(t, snapshot.Version, uint64(5))
-	m.Lost()
+	m.SourceUnavailable()
 	_, err = m.Wait(context.Background(), 5, time.Hour)
 	assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 }
@@ -68,7 +68,7 @@
 // TestOutagesAreTold: readers learn how long ago the last outage of the API ended, also of one that nobody noticed meanwhile.
 func TestOutagesAreTold(t *testing.T) {
 	for name, outage := range map[string]func(m *mirror.Mirror){
-		"noticed": func(m *mirror.Mirror) { m.Lost() },
+		"noticed": func(m *mirror.Mirror) { m.SourceUnavailable() },
 		"silent":  func(*mirror.Mirror) { time.Sleep(3 * time.Second) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -252,7 +252,7 @@
 			assert.NilError(t, err)
 			assert.Assert(t, !snapshot.Certain.After(confirmed))
 		}
-		m.Lost()
+		m.SourceUnavailable()
 		_, err = client.Wait(t.Context(), "k/", 5, 0)
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 	})
--- a/internal/rookpassd/cluster/tracker.go
+++ b/internal/rookpassd/cluster/tracker.go
@@ -224,8 +224,8 @@
 	t.wake()
 }
 
-// Lost implements watch.Handler.
-func (t *Tracker) Lost() {
+// SourceUnavailable implements watch.Handler.
+func (t *Tracker) SourceUnavailable() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.healthy = false
--- a/internal/rookpassd/config/view.go
+++ b/internal/rookpassd/config/view.go
@@ -209,8 +209,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Lost implements watch.Handler.
-func (s *Store) Lost() {}
+// SourceUnavailable implements watch.Handler.
+func (s *Store) SourceUnavailable() {}
 
 // Export returns the configuration as stored, for a peer that can't reach the object API.
 func (s *Store) Export() objectapi.Snapshot {
