--- a/internal/front/gateway/admission.go
+++ b/internal/front/gateway/admission.go
@@ -30,8 +30,8 @@
 	x.look(&s.ask)
 	c.Slots = s.ask.Slots
 	c.UnloadedDuration = x.g.balancer.UnloadedDuration(&s.ask, x.info.LikelyOutputTokens)
-	if x.info.FinishIn > 0 {
-		c.Deadline = x.arrived.Add(x.info.FinishIn)
+	if x.info.TimeBudget > 0 {
+		c.Deadline = x.arrived.Add(x.info.TimeBudget)
 	}
 	c.FirstEventBy = x.arrived.Add(max(leastSilence, silentObjectives*x.route.Objective, silentGaps*x.route.MaxGap))
 	if !x.until.IsZero() && x.until.Before(c.FirstEventBy) {
--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			return info, err
 		}
-		info.FinishIn = d
+		info.TimeBudget = d
 	}
 	if h.Get("Budget") != "" {
 		info.HasBudget = true
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -74,13 +74,13 @@
 	var reserveErr error
 	if x.info.HasBudget {
 		p.reservation = x.record(turn.Reserved, x.info.MaxOutputTokens)
-		p.reservation.Aim = x.info.FinishIn
+		p.reservation.Aim = x.info.TimeBudget
 		account, reserveErr = x.g.ledger.Reserve(ctx, p.reservation, x.info.TokenBudget)
 	}
 	<-read
 	p.chain = chain
 	p.begun = len(chain) > 0 || account.Turns > 0
-	p.aim = max(account.TimeBudget, x.info.FinishIn)
+	p.aim = max(account.TimeBudget, x.info.TimeBudget)
 	x.g.log.WithFields(logrus.Fields{"event": "turn", "id": x.info.ID, "program": x.info.Program, "previous": x.info.PreviousTurn,
 		"before": len(chain), "spent": account.Spent, "places": len(account.CachedPrompts), "reserve": x.info.MaxOutputTokens, "budget": x.info.TokenBudget,
 		"ms": time.Since(x.arrived).Milliseconds()}).Info("turn prepared")
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -30,8 +30,8 @@
 	// LastEvent is the id of the last event that the caller got of a stream that broke off; the answer goes on
 	// behind it. Empty for an answer from its start.
 	LastEvent string
-	// FinishIn is how long from now the whole program should take at most; 0 where that is not said.
-	FinishIn time.Duration
+	// TimeBudget is how long from now the whole program should take at most; 0 where that is not said.
+	TimeBudget time.Duration
 	// HasBudget tells whether TokenBudget, the tokens that all turns of the program may generate, is set.
 	HasBudget   bool
 	TokenBudget int64
