--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -98,12 +98,12 @@
 }
 
 func newFront(b *base) *front {
-	f := &front{base: b, catalog: catalog.New(), balancer: balance.New(b.settings.Node, b.settings.Place()), gate: dispatch.New()}
+	f := &front{base: b, catalog: catalog.New(), balancer: balance.New(b.settings.Node, b.settings.Topology()), gate: dispatch.New()}
 	f.pool = upstream.NewPool(b.host.dial, platform.HeaderCodec{}, int(serverShare*float64(b.settings.MaxDescriptors)))
 	f.pool.OnDial(f.learnWay)
 	f.detour = tunnel.NewDialer(b.host.dial, b.settings.PeerAddress())
 	b.links.WithFallback(f.detour.Dial, diskPatience)
-	f.ledger = ledger.New(b.links, b.settings.Place(), int(cacheShare*float64(b.settings.MemoryBytes)), b.log)
+	f.ledger = ledger.New(b.links, b.settings.Topology(), int(cacheShare*float64(b.settings.MemoryBytes)), b.log)
 	f.gateway = gateway.New(gateway.Options{
 		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, HeaderCodec: platform.HeaderCodec{},
 		Log: b.log, Stats: gateway.NewStats(b.metrics), Scheduler: f.gate, BodyBytes: int64(bodyShare * float64(b.settings.MemoryBytes)),
@@ -188,7 +188,7 @@
 		return run(&handler{prefix: layoutPrefix, apply: f.applyLayout}, frontWait)
 	})
 	servers := catalog.NewServersHandler(catalog.ServersOptions{
-		Catalog: f.catalog, Topology: f.settings.Place(), Prefix: platform.ServersPrefix,
+		Catalog: f.catalog, Topology: f.settings.Topology(), Prefix: platform.ServersPrefix,
 		Decode: platform.DecodeServer, LeaseExpiry: policy.NewLeaseExpiry(f.settings.Heartbeat), Log: f.log, OnStarted: f.serverStarted,
 		OnRefused: func(reason catalog.RefusalReason) { f.metrics.Count("rookpass_entries_refused_total", string(reason)) },
 	})
@@ -305,7 +305,7 @@
 		}
 		args := &exchange.Args{From: f.settings.PeerAddress(), Daemons: daemons.Read(), Suspects: f.balancer.Suspects(), Failing: f.balancer.Failing(),
 			Demand: f.demand(), Loads: f.balancer.Loads()}
-		places := exchange.HubCandidates(l.Disks(), f.settings.Place(), daemons.Read())
+		places := exchange.HubCandidates(l.Disks(), f.settings.Topology(), daemons.Read())
 		reply, err := exchange.Swap(ctx, f.links.LinkTo(places[place%len(places)]), args)
 		if err != nil {
 			place++
--- a/internal/node/readers.go
+++ b/internal/node/readers.go
@@ -50,7 +50,7 @@
 // preferred sorts disks: the nearest first, else by a hash of this VM's and theirs.
 func (b *base) preferred(disks []layout.Disk) []layout.Disk {
 	rank := func(d layout.Disk) uint64 { return xxhash.Sum64String(b.settings.Node + " " + d.Node) }
-	at := b.settings.Place()
+	at := b.settings.Topology()
 	slices.SortFunc(disks, func(a, b layout.Disk) int {
 		return cmp.Or(cmp.Compare(at.To(a.DataCentre), at.To(b.DataCentre)), cmp.Compare(rank(a), rank(b)))
 	})
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -74,7 +74,7 @@
 	})
 	retiring := &retirements{platform: b.store, nodes: map[string]bool{}, log: b.log}
 	controller := replica.NewController(replica.Options{
-		Store: store, API: b.store, Links: b.links, Retirements: retiring, Log: b.log, Topology: s.Place(), LayoutKey: layoutKey, CandidatesPrefix: candidatesPrefix,
+		Store: store, API: b.store, Links: b.links, Retirements: retiring, Log: b.log, Topology: s.Topology(), LayoutKey: layoutKey, CandidatesPrefix: candidatesPrefix,
 		FirstStart: s.FirstStart, Tolerance: s.ToleratedDiskFailures, DiskBytes: s.DiskBytes,
 	})
 	configWait := b.configWait(storeWait, readerShare)
