--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -56,7 +56,7 @@
 	}
 	if h.Get("Deadline") != "" {
 		d, err := time.ParseDuration(h.Get("Deadline"))
-		info.Deadline = d
+		info.Timeout = d
 		return info, err
 	}
 	return info, nil
--- a/internal/front/gateway/steps.go
+++ b/internal/front/gateway/steps.go
@@ -63,7 +63,7 @@
 // withDeadline takes the earlier of the caller's deadline and the route's timeout.
 func withDeadline(x *exchange) *refusal {
 	limit := x.route.Timeout
-	if d := x.info.Deadline; d > 0 && (limit == 0 || d < limit) {
+	if d := x.info.Timeout; d > 0 && (limit == 0 || d < limit) {
 		limit = d
 	}
 	if limit > 0 {
--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -19,8 +19,8 @@
 type RequestInfo struct {
 	// ID names one attempt of a caller. It is unique.
 	ID string
-	// Deadline is how long the caller will wait from now; 0 means that it did not say.
-	Deadline time.Duration
+	// Timeout is how long the caller will wait from now; 0 means that it did not say.
+	Timeout time.Duration
 	// Program and Session tell which agent program and which line of its turns the request belongs to; both
 	// may be empty.
 	Program string
