--- a/internal/objects/objectapi/apitest/faulty.go
+++ b/internal/objects/objectapi/apitest/faulty.go
@@ -53,8 +53,8 @@
 // New wraps an API.
 func New(api objectapi.API) *API { return &API{API: api, switched: make(chan struct{})} }
 
-// Set switches a fault on for all requests to come.
-func (a *API) Set(fault Fault) {
+// SetFault switches a fault on for all requests to come.
+func (a *API) SetFault(fault Fault) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fault = fault
@@ -67,7 +67,7 @@
 
 // SetStale sets the fault Stale with the content that stale lists show.
 func (a *API) SetStale(content objectapi.Snapshot) {
-	a.Set(Stale)
+	a.SetFault(Stale)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stale = content
--- a/internal/objects/objectapi/contract_test.go
+++ b/internal/objects/objectapi/contract_test.go
@@ -143,7 +143,7 @@
 		assert.ErrorIs(t, err, objectapi.ErrTooLarge)
 	}},
 	{"an outage is no effect", func(ctx context.Context, t *testing.T, h harness) {
-		h.fault.Set(apitest.Down)
+		h.fault.SetFault(apitest.Down)
 		_, err := h.api.Put(ctx, "a/1", nil, objectapi.MustNotExist)
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 		_, err = h.api.Get(ctx, "a/1")
@@ -152,7 +152,7 @@
 		assert.ErrorIs(t, err, objectapi.ErrNotFound)
 	}},
 	{"a lost answer is an unknown outcome", func(ctx context.Context, t *testing.T, h harness) {
-		h.fault.Set(apitest.LostResponses)
+		h.fault.SetFault(apitest.LostResponses)
 		_, err := h.api.Put(ctx, "a/1", []byte("one"), objectapi.MustNotExist)
 		assert.ErrorIs(t, err, objectapi.ErrUnknownOutcome)
 		read, err := h.api.Get(ctx, "a/1")
@@ -162,8 +162,8 @@
 	{"a hung write is an unknown outcome, a hung read is none", func(ctx context.Context, t *testing.T, h harness) {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		h.fault.Set(apitest.Hang)
-		defer h.fault.Set(apitest.None)
+		h.fault.SetFault(apitest.Hang)
+		defer h.fault.SetFault(apitest.None)
 		_, err := h.api.Put(ctx, "a/1", nil, objectapi.MustNotExist)
 		assert.ErrorIs(t, err, objectapi.ErrUnknownOutcome)
 		_, err = h.api.Get(ctx, "a/1")
--- a/internal/objects/watch/watch_test.go
+++ b/internal/objects/watch/watch_test.go
@@ -53,10 +53,10 @@
 		fault func(*apitest.API, *memapi.API)
 	}{
 		{"no fault", func(*apitest.API, *memapi.API) {}},
-		{"outage", func(a *apitest.API, _ *memapi.API) { a.Set(apitest.Down) }},
-		{"hang", func(a *apitest.API, _ *memapi.API) { a.Set(apitest.Hang) }},
+		{"outage", func(a *apitest.API, _ *memapi.API) { a.SetFault(apitest.Down) }},
+		{"hang", func(a *apitest.API, _ *memapi.API) { a.SetFault(apitest.Hang) }},
 		{"place lost", func(_ *apitest.API, m *memapi.API) { m.Compact() }},
-		{"place lost in an outage", func(a *apitest.API, m *memapi.API) { a.Set(apitest.Down); m.Compact() }},
+		{"place lost in an outage", func(a *apitest.API, m *memapi.API) { a.SetFault(apitest.Down); m.Compact() }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			testbubble.Run(t, func(t *testing.T) {
@@ -74,7 +74,7 @@
 				assert.NilError(t, err)
 				row.fault(api, store)
 				<-time.After(20 * time.Second)
-				api.Set(apitest.None)
+				api.SetFault(apitest.None)
 				<-time.After(10 * time.Second)
 				stop()
 				assert.DeepEqual(t, c.objects, map[string]uint64{"a/2": 2})
@@ -94,10 +94,10 @@
 		assert.Assert(t, w.Age() < 0)
 		stop := run(t, w)
 		<-time.After(time.Second)
-		api.Set(apitest.Down)
+		api.SetFault(apitest.Down)
 		<-time.After(20 * time.Second)
 		assert.Assert(t, w.Age() > 10*time.Second, "%v", w.Age())
-		api.Set(apitest.None)
+		api.SetFault(apitest.None)
 		<-time.After(10 * time.Second)
 		lost := c.lost
 		stop()
@@ -144,11 +144,11 @@
 					defer stop()
 					for range 5 {
 						<-time.After(time.Second)
-						api.Set(fault)
+						api.SetFault(fault)
 						<-time.After(length)
 						object, err := api.API.Put(t.Context(), "a/1", nil, c.objects["a/1"])
 						assert.NilError(t, err)
-						api.Set(apitest.None)
+						api.SetFault(apitest.None)
 						<-time.After(400 * time.Millisecond)
 						assert.Equal(t, c.objects["a/1"], object.Version)
 						assert.Equal(t, c.version, object.Version)
@@ -227,7 +227,7 @@
 			defer run(t, watch.New(link, 0, &copied{prefix: fmt.Sprint("p", i, "/")}).WithWait(time.Second))()
 		}
 		<-time.After(time.Second)
-		api.Set(apitest.Down)
+		api.SetFault(apitest.Down)
 		<-time.After(5 * time.Second)
 		before := api.waits.Load()
 		<-time.After(100 * time.Second)
@@ -254,11 +254,11 @@
 		defer run(t, watch.New(link, 0, &copied{prefix: "b/"}))()
 		defer run(t, healthy)()
 		<-time.After(time.Second)
-		api.Set(apitest.Down)
+		api.SetFault(apitest.Down)
 		<-time.After(10 * time.Second)
 		_, err := store.Put(t.Context(), "a/1", nil, objectapi.MustNotExist)
 		assert.NilError(t, err)
-		api.Set(apitest.None)
+		api.SetFault(apitest.None)
 		<-time.After(800 * time.Millisecond)
 		assert.Equal(t, len(c.objects), 1)
 		before := healthy.Calls()
@@ -289,7 +289,7 @@
 		object, err := store.Put(t.Context(), "a/1", nil, objectapi.MustNotExist)
 		assert.NilError(t, err)
 		api := &old{apitest.New(store), objectapi.Snapshot{Objects: []objectapi.Object{object}, Version: object.Version, Stale: true}}
-		api.Set(apitest.Down)
+		api.SetFault(apitest.Down)
 		c := &copied{}
 		w := watch.New(watch.NewSharedSource(api), 0, c)
 		defer run(t, w)()
@@ -298,7 +298,7 @@
 		assert.Equal(t, c.version, uint64(0))
 		assert.Equal(t, c.lost, 1)
 		assert.Assert(t, w.Age() < 0)
-		api.Set(apitest.None)
+		api.SetFault(apitest.None)
 		<-time.After(400 * time.Millisecond)
 		assert.Equal(t, c.version, object.Version)
 		assert.Assert(t, w.Age() >= 0)
--- a/internal/rookpassd/journal/journal_test.go
+++ b/internal/rookpassd/journal/journal_test.go
@@ -59,8 +59,8 @@
 			testbubble.Run(t, func(t *testing.T) {
 				api := apitest.New(memapi.New())
 				w := start(t, api, journal.DefaultOptions())
-				api.Set(row.fault)
-				time.AfterFunc(row.lasts, func() { api.Set(apitest.None) })
+				api.SetFault(row.fault)
+				time.AfterFunc(row.lasts, func() { api.SetFault(apitest.None) })
 				began := time.Now()
 				assert.NilError(t, w.Commit(t.Context(), entry("a")))
 				assert.Assert(t, time.Since(began) <= row.within, "took %v", time.Since(began))
@@ -141,7 +141,7 @@
 func TestSpillIsBounded(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		api := apitest.New(memapi.New())
-		api.Set(apitest.Down)
+		api.SetFault(apitest.Down)
 		options := journal.DefaultOptions()
 		options.MaxPendingBytes = 100
 		w := start(t, api, options)
@@ -153,7 +153,7 @@
 		assert.ErrorIs(t, err, journal.ErrFull)
 		assert.Assert(t, w.Full())
 		assert.Assert(t, w.PendingBytes() <= 100)
-		api.Set(apitest.None)
+		api.SetFault(apitest.None)
 		assert.NilError(t, waitUntil(func() bool { return w.PendingBytes() == 0 }))
 		segments, err := journal.Seal(t.Context(), api, "d.1", 0, "d.2", "test")
 		assert.NilError(t, err)
@@ -187,11 +187,11 @@
 			for i, step := range steps {
 				switch step {
 				case 0:
-					api.Set(apitest.LostResponses)
+					api.SetFault(apitest.LostResponses)
 				case 1:
-					api.Set(apitest.LostRequests)
+					api.SetFault(apitest.LostRequests)
 				case 2:
-					api.Set(apitest.None)
+					api.SetFault(apitest.None)
 				default:
 					e := entry(fmt.Sprint(i))
 					assert.NilError(t, w.Append(e))
@@ -199,7 +199,7 @@
 				}
 				<-time.After(time.Duration(step) * 10 * time.Millisecond)
 			}
-			api.Set(apitest.None)
+			api.SetFault(apitest.None)
 			segments, err := journal.Seal(t.Context(), api, "d.1", 0, "d.2", "test")
 			assert.NilError(t, err)
 			kept := records(segments)
--- a/internal/rookpassd/spending/spending_test.go
+++ b/internal/rookpassd/spending/spending_test.go
@@ -90,8 +90,8 @@
 			testbubble.Run(t, func(t *testing.T) {
 				all := newLedgers()
 				all.api.SetDelay(3 * time.Millisecond)
-				all.api.Set(row.fault)
-				time.AfterFunc(5*time.Second, func() { all.api.Set(apitest.None) })
+				all.api.SetFault(row.fault)
+				time.AfterFunc(5*time.Second, func() { all.api.SetFault(apitest.None) })
 				spent := make(chan int64, 3)
 				for i := range 3 {
 					l := all.open(fmt.Sprintf("d%d", i))
@@ -128,7 +128,7 @@
 
 func TestNoBudgetNoBound(t *testing.T) {
 	all := newLedgers()
-	all.api.Set(apitest.Down)
+	all.api.SetFault(apitest.Down)
 	settle, err := all.open("d1").Reserve(t.Context(), "unbounded", 1<<40)
 	assert.NilError(t, err)
 	settle(1 << 40)
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -38,8 +38,8 @@
 		if a.entry != owner {
 			a.entry, a.client = owner, c.client(owner)
 		}
-		owner.fault.Set(apitest.NoClusterUpdates)
-		time.AfterFunc(6*time.Second, func() { owner.fault.Set(apitest.None) })
+		owner.fault.SetFault(apitest.NoClusterUpdates)
+		time.AfterFunc(6*time.Second, func() { owner.fault.SetFault(apitest.None) })
 		for _, n := range c.nodes {
 			if n != owner {
 				c.fabric.Partition(owner.name, n.name)
@@ -82,7 +82,7 @@
 		c.kill(c.ownerOf(id))
 		<-time.After(time.Second) // A request that a peer was relaying fails in the outage too.
 		for _, n := range c.nodes {
-			n.fault.Set(apitest.None)
+			n.fault.SetFault(apitest.None)
 		}
 		a.elsewhere()
 		return nil
@@ -125,7 +125,7 @@
 		<-time.After(time.Second)
 		c.nodes[0].fault.SetStale(before)
 		<-time.After(10 * time.Second)
-		c.nodes[0].fault.Set(apitest.None)
+		c.nodes[0].fault.SetFault(apitest.None)
 		return watched()
 	}},
 }
--- a/internal/testing/faultmatrix/matrix_test.go
+++ b/internal/testing/faultmatrix/matrix_test.go
@@ -31,11 +31,11 @@
 // api sets a fault of the object API for some nodes.
 func api(kind apitest.Fault, nodes ...*node) func() {
 	for _, n := range nodes {
-		n.fault.Set(kind)
+		n.fault.SetFault(kind)
 	}
 	return func() {
 		for _, n := range nodes {
-			n.fault.Set(apitest.None)
+			n.fault.SetFault(apitest.None)
 		}
 	}
 }
--- a/internal/testing/faultmatrix/measure_test.go
+++ b/internal/testing/faultmatrix/measure_test.go
@@ -74,7 +74,7 @@
 				c := newCluster(t, 8, seed)
 				slow(c, normalDelay)
 				if cut {
-					c.nodes[3].fault.Set(apitest.Down)
+					c.nodes[3].fault.SetFault(apitest.Down)
 				}
 				<-time.After(3*time.Second + time.Duration(seed)*97*time.Millisecond)
 				began := time.Now()
