--- a/internal/objects/objectapi/httpapi/client.go
+++ b/internal/objects/objectapi/httpapi/client.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", unclear, err)
 	}
-	if err := objectapi.StatusError(resp.Status, unclear); err != nil {
+	if err := objectapi.ErrorFromStatus(resp.Status, unclear); err != nil {
 		return err
 	}
 	if err := json.Unmarshal(body, answer); err != nil {
--- a/internal/objects/objectapi/status.go
+++ b/internal/objects/objectapi/status.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// StatusError returns the outcome that the HTTP status of an answer tells; unclear is that of a call whose status
+// ErrorFromStatus returns the outcome that the HTTP status of an answer tells; unclear is that of a call whose status
 // tells nothing certain.
-func StatusError(status int, unclear error) error {
+func ErrorFromStatus(status int, unclear error) error {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
 		return nil
