--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -140,7 +140,7 @@
 
 // watcher returns a watch of a handler's prefix that logs its outages and tells the age of what it knows.
 func (b *base) watcher(link *watch.SharedSource, d time.Duration, h watch.Handler) *watch.Watcher {
-	w := watch.New(link, watchPace, h).WithWait(d).WithLog(b.log)
+	w := watch.New(link, watchPace, h).WithPollTimeout(d).WithLog(b.log)
 	gauge := fmt.Sprintf("rookpass_watch_age_seconds{prefix=%q}", h.Prefix())
 	b.metrics.Gauge(gauge, func() float64 { return w.Age().Seconds() })
 	return w
--- a/internal/objects/watch/watch.go
+++ b/internal/objects/watch/watch.go
@@ -101,8 +101,8 @@
 	return w
 }
 
-// WithWait sets how long one call waits for a change, and returns the watcher.
-func (w *Watcher) WithWait(d time.Duration) *Watcher {
+// WithPollTimeout sets how long one call waits for a change, and returns the watcher.
+func (w *Watcher) WithPollTimeout(d time.Duration) *Watcher {
 	w.waitTime = d
 	return w
 }
--- a/internal/objects/watch/watch_test.go
+++ b/internal/objects/watch/watch_test.go
@@ -203,8 +203,8 @@
 		api := &swallowed{API: apitest.New(store)}
 		link := watch.NewSharedSource(api)
 		quick, slow := &copied{}, &copied{prefix: "b/"}
-		defer run(t, watch.New(link, 0, quick).WithWait(time.Second))()
-		defer run(t, watch.New(link, 0, slow).WithWait(time.Hour))()
+		defer run(t, watch.New(link, 0, quick).WithPollTimeout(time.Second))()
+		defer run(t, watch.New(link, 0, slow).WithPollTimeout(time.Hour))()
 		<-time.After(time.Second)
 		api.fallSilent()
 		<-time.After(4 * time.Second)
@@ -224,7 +224,7 @@
 		api := &swallowed{API: apitest.New(memapi.New())}
 		link := watch.NewSharedSource(api)
 		for i := range 6 {
-			defer run(t, watch.New(link, 0, &copied{prefix: fmt.Sprint("p", i, "/")}).WithWait(time.Second))()
+			defer run(t, watch.New(link, 0, &copied{prefix: fmt.Sprint("p", i, "/")}).WithPollTimeout(time.Second))()
 		}
 		<-time.After(time.Second)
 		api.SetFault(apitest.Down)
@@ -343,7 +343,7 @@
 		source := &told{}
 		source.sinceOutage.Store(int64(time.Minute))
 		c, other := &copied{}, &copied{prefix: "b/"}
-		stop := run(t, watch.New(watch.NewSharedSource(source), 100*time.Millisecond, c, other).WithWait(time.Second))
+		stop := run(t, watch.New(watch.NewSharedSource(source), 100*time.Millisecond, c, other).WithPollTimeout(time.Second))
 		defer stop()
 		time.Sleep(3500 * time.Millisecond)
 		assert.Equal(t, c.lost, 0, "it ended before the watch began")
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -105,7 +105,7 @@
 	}()
 	var running sync.WaitGroup // both write to the daemon's folder
 	running.Go(func() {
-		_ = watch.New(watch.NewSharedSource(c.api), 0, observer{controller}).WithWait(time.Second).Run(ctx)
+		_ = watch.New(watch.NewSharedSource(c.api), 0, observer{controller}).WithPollTimeout(time.Second).Run(ctx)
 	})
 	running.Go(func() { _ = controller.Run(ctx) })
 	go func() {
