--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -90,7 +90,7 @@
 		evacuations = append(evacuations, mirror.New(platform.EvacuationsPrefix, evacuationWait+answerSlack))
 	}
 	layouts := &handler{prefix: layoutPrefix, apply: controller.ObserveLayout}
-	source := feed.New(b.readers(store), feed.NamedSource{Name: "platform", Source: single{b.store}}, b.log).WithMirrorWait(followWait)
+	source := feed.New(b.readers(store), feed.NamedSource{Name: "platform", Source: single{b.store}}, b.log).WithMirrorPollTimeout(followWait)
 	link := watch.NewSharedSource(source)
 	layoutWatcher := b.watcher(link, rareWait, both{mirrors[2], layouts})
 	watchers := []*watch.Watcher{
--- a/internal/objects/feed/feed.go
+++ b/internal/objects/feed/feed.go
@@ -77,8 +77,8 @@
 	return &FailoverSource{mirrors: mirrors, direct: direct, log: log, mirrorWait: mirrorWait, newest: map[string]uint64{}}
 }
 
-// WithMirrorWait sets how long a mirror may keep a watch waiting, and returns the feed.
-func (f *FailoverSource) WithMirrorWait(d time.Duration) *FailoverSource {
+// WithMirrorPollTimeout sets how long a mirror may keep a watch waiting, and returns the feed.
+func (f *FailoverSource) WithMirrorPollTimeout(d time.Duration) *FailoverSource {
 	f.mirrorWait = d
 	return f
 }
