--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -215,7 +215,7 @@
 	id := fmt.Sprintf("t%d", ids.Add(1))
 	input := fmt.Sprintf("[%s turn %d]", l.program, l.turns)
 	c.checker.Sent(id, l.history+input, false)
-	call := platformtest.Call{ID: id, Program: l.program, Previous: l.previous, Deadline: callDeadline, Budget: budget, MostTokens: mostTokens}
+	call := platformtest.Call{ID: id, Program: l.program, Previous: l.previous, Deadline: callDeadline, Budget: budget, MaxOutputTokens: mostTokens}
 	status, header, body, err := c.send("/turn/", call, input)
 	c.checker.Handed(l.program, tokensPerEvent*int64(strings.Count(string(body), "data: ")), budget+mostTokens)
 	if status == http.StatusNotFound {
--- a/internal/testing/workload/question.go
+++ b/internal/testing/workload/question.go
@@ -50,7 +50,7 @@
 func (c *Caller) ask(q *question) int {
 	id := fmt.Sprintf("t%d", ids.Add(1))
 	c.checker.Sent(id, q.text, true)
-	call := platformtest.Call{ID: id, Program: q.program, Deadline: callDeadline, Budget: q.budget, MostTokens: mostTokens, LastEvent: q.got}
+	call := platformtest.Call{ID: id, Program: q.program, Deadline: callDeadline, Budget: q.budget, MaxOutputTokens: mostTokens, LastEvent: q.got}
 	status, header, body, err := c.send(questionPath, call, q.text)
 	if status != http.StatusOK {
 		return c.failed(id, status, err)
