--- a/internal/testing/soak/world.go
+++ b/internal/testing/soak/world.go
@@ -129,7 +129,7 @@
 	}
 	p.store = link
 	p.settings = platformtest.Settings{Node: p.node, Class: p.class, IP: p.ip, DataCentre: fmt.Sprint("dc", i%3), FirstStart: true,
-		StoreAddress: link.address(), Seeds: seeds[:min(3, len(seeds))], Tolerance: tolerance, GraceSeconds: graceSeconds,
+		StoreAddress: link.address(), Seeds: seeds[:min(3, len(seeds))], ToleratedFailures: tolerance, GraceSeconds: graceSeconds,
 		MaxRevocationDelayMS: int(withdrawal.Milliseconds())}
 	if p.class == "front" {
 		if p.callers, err = newProxy(fmt.Sprintf("%s:%d", p.ip, platformtest.CallerPort)); err != nil {
