--- a/internal/rookpassd/backend/engine.go
+++ b/internal/rookpassd/backend/engine.go
@@ -123,7 +123,7 @@
 		return Usage{}, opened(open.Method, err)
 	}
 	if resp.Status != http.StatusOK {
-		defer resp.Release()
+		defer resp.Close()
 		return Usage{}, statusError(resp, e.client.Addr(), open.Method)
 	}
 	events := make(chan CompletionEvent)
@@ -187,7 +187,7 @@
 
 // readEvents reads server-sent events until the stream ends.
 func readEvents(resp *httpclient.Response, events chan<- CompletionEvent, stop <-chan struct{}) {
-	defer resp.Release()
+	defer resp.Close()
 	defer close(events)
 	reader := bufio.NewReader(resp.Body)
 	for {
@@ -217,7 +217,7 @@
 	defer done()
 	resp, err := e.client.Do(ctx, httpclient.Request{Method: http.MethodDelete, Path: "/v1/completions?request_id=" + url.QueryEscape(requestID)})
 	if err == nil {
-		resp.Release()
+		resp.Close()
 	}
 }
 
--- a/internal/rookpassd/backend/service.go
+++ b/internal/rookpassd/backend/service.go
@@ -45,7 +45,7 @@
 		return Answer{}, sendError(err)
 	}
 	if err := refusal(s.client.Addr(), resp); err != nil {
-		resp.Release()
+		resp.Close()
 		return Answer{}, err
 	}
 	answer, err := resp.ReadAll(ctx, maxAnswerBytes)
--- a/internal/transport/httpclient/httpclient.go
+++ b/internal/transport/httpclient/httpclient.go
@@ -131,8 +131,8 @@
 	// RetryAfter is the server's Retry-After header, 0 without one.
 	RetryAfter time.Duration
 	Body       io.Reader
-	// Release must be called once the body is read or given up.
-	Release func()
+	// Close must be called once the body is read or given up.
+	Close func()
 }
 
 // Do sends a request and returns when the response's headers are there, or ctx ends.
@@ -217,7 +217,7 @@
 		Status:     resp.StatusCode(),
 		RetryAfter: time.Duration(seconds) * time.Second,
 		Body:       body,
-		Release:    release,
+		Close:      release,
 	}
 }
 
@@ -243,7 +243,7 @@
 			err = ErrTooLarge
 		}
 		result <- outcome{body, err}
-		r.Release()
+		r.Close()
 	}()
 	select {
 	case o := <-result:
