--- a/internal/base/verdict/verdict.go
+++ b/internal/base/verdict/verdict.go
@@ -127,8 +127,8 @@
 	return &Error{Code: code, Verdict: NotRun, err: class.New(format, args...)}
 }
 
-// ComeBack returns an error for a request that provably did not run and may succeed after a time.
-func ComeBack(code Code, after time.Duration, format string, args ...any) *Error {
+// RetryLater returns an error for a request that provably did not run and may succeed after a time.
+func RetryLater(code Code, after time.Duration, format string, args ...any) *Error {
 	return &Error{Code: code, Verdict: NotRun, RetryAfter: after, err: class.New(format, args...)}
 }
 
--- a/internal/rookpassd/admin/admin.go
+++ b/internal/rookpassd/admin/admin.go
@@ -135,7 +135,7 @@
 	case errors.Is(err, objectapi.ErrUnknownOutcome):
 		return verdict.Unknown(verdict.Lost, apiRetry, "the change may be in force: read the object")
 	default:
-		return verdict.ComeBack(verdict.Unavailable, apiRetry, "object API: %v", err)
+		return verdict.RetryLater(verdict.Unavailable, apiRetry, "object API: %v", err)
 	}
 }
 
--- a/internal/rookpassd/backend/engine.go
+++ b/internal/rookpassd/backend/engine.go
@@ -176,7 +176,7 @@
 			return err
 		}
 		if resp.Status == http.StatusPreconditionFailed {
-			return verdict.ComeBack(verdict.NotOwner, busyRetry, "%s refused the fencing token", addr)
+			return verdict.RetryLater(verdict.NotOwner, busyRetry, "%s refused the fencing token", addr)
 		}
 		if resp.Status < http.StatusInternalServerError {
 			return verdict.Refuse(verdict.Invalid, "%s answered %d", addr, resp.Status)
--- a/internal/rookpassd/backend/errors.go
+++ b/internal/rookpassd/backend/errors.go
@@ -27,7 +27,7 @@
 // sendError gives a failure to send its verdict.
 func sendError(err error) error {
 	if errors.Is(err, httpclient.ErrNotSent) {
-		return verdict.ComeBack(verdict.Unavailable, busyRetry, "%v", err)
+		return verdict.RetryLater(verdict.Unavailable, busyRetry, "%v", err)
 	}
 	return verdict.Unknown(verdict.Unavailable, brokeRetry, "%v", err)
 }
@@ -38,5 +38,5 @@
 	if resp.Status != http.StatusTooManyRequests && resp.Status != http.StatusServiceUnavailable {
 		return nil
 	}
-	return verdict.ComeBack(verdict.Overloaded, max(resp.RetryAfter, busyRetry), "%s answered %d", addr, resp.Status)
+	return verdict.RetryLater(verdict.Overloaded, max(resp.RetryAfter, busyRetry), "%s answered %d", addr, resp.Status)
 }
--- a/internal/rookpassd/backend/pool.go
+++ b/internal/rookpassd/backend/pool.go
@@ -66,7 +66,7 @@
 		return s, nil
 	case <-ctx.Done():
 		p.leave(a, waiting)
-		return nil, verdict.ComeBack(verdict.Timeout, busyRetry, "no backend server came free in time")
+		return nil, verdict.RetryLater(verdict.Timeout, busyRetry, "no backend server came free in time")
 	}
 }
 
@@ -84,10 +84,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.usable(a) {
-		return nil, verdict.ComeBack(verdict.Unavailable, firstEjection, "no backend server takes work for this target")
+		return nil, verdict.RetryLater(verdict.Unavailable, firstEjection, "no backend server takes work for this target")
 	}
 	if p.queue.Len() >= maxQueued || p.queue.LenOf(a.organisation) >= maxQueuedPerOrganisation {
-		return nil, verdict.ComeBack(verdict.Overloaded, busyRetry, "too many calls wait")
+		return nil, verdict.RetryLater(verdict.Overloaded, busyRetry, "too many calls wait")
 	}
 	waiting := &policy.QueuedCall{
 		Organisation: a.organisation, Weight: a.weight, Priority: a.priority,
--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -187,7 +187,7 @@
 	f := r.fleet.Load()
 	p := f.pools[target{rookpassv1.CallKind_CALL_KIND_MODEL, call.Model}]
 	if p == nil {
-		return holder.ModelResult{}, verdict.ComeBack(verdict.Unavailable, brokeRetry, "no engine serves %q", call.Model)
+		return holder.ModelResult{}, verdict.RetryLater(verdict.Unavailable, brokeRetry, "no engine serves %q", call.Model)
 	}
 	a := &ask{
 		organisation: call.Organisation,
@@ -239,7 +239,7 @@
 	if err != nil {
 		return err
 	}
-	return verdict.ComeBack(verdict.Unavailable, busyRetry, "no other backend server takes the call")
+	return verdict.RetryLater(verdict.Unavailable, busyRetry, "no other backend server takes the call")
 }
 
 // healthy tells what an outcome says of the server: a refusal and a caller's deadline say nothing bad.
@@ -303,7 +303,7 @@
 	}
 	p := f.pools[target{kind, call.Service}]
 	if p == nil {
-		return "", Answer{}, verdict.ComeBack(verdict.Unavailable, brokeRetry, "no server serves %q", call.Service)
+		return "", Answer{}, verdict.RetryLater(verdict.Unavailable, brokeRetry, "no server serves %q", call.Service)
 	}
 	s, err := p.acquire(ctx, &ask{
 		organisation: call.Organisation, weight: r.weight(call.Organisation), costTokens: 1, avoid: avoid,
--- a/internal/rookpassd/filter/admit.go
+++ b/internal/rookpassd/filter/admit.go
@@ -18,7 +18,7 @@
 	return func(next Handler) Handler {
 		return func(ctx context.Context, r *Request, send Send) error {
 			if !store.Fresh(maxAge) {
-				return verdict.ComeBack(verdict.Unavailable, staleRetry, "configuration could not be confirmed for %v", maxAge)
+				return verdict.RetryLater(verdict.Unavailable, staleRetry, "configuration could not be confirmed for %v", maxAge)
 			}
 			organisation := store.View().Organisations[r.Organisation]
 			if start := r.Execute.GetStart(); start != nil && !slices.Contains(organisation.GetDefinitions(), start.Definition) {
--- a/internal/rookpassd/filter/limit.go
+++ b/internal/rookpassd/filter/limit.go
@@ -54,7 +54,7 @@
 				bound = defaultMaxCalls
 			}
 			if !limits.enter(r.Organisation, bound) {
-				return verdict.ComeBack(verdict.Overloaded, limitRetry, "organisation has its %d calls here", bound)
+				return verdict.RetryLater(verdict.Overloaded, limitRetry, "organisation has its %d calls here", bound)
 			}
 			defer limits.leave(r.Organisation)
 			return next(ctx, r, send)
--- a/internal/rookpassd/holder/call.go
+++ b/internal/rookpassd/holder/call.go
@@ -62,7 +62,7 @@
 		if l.running.call.RequestId == call.RequestId {
 			return nil, l.running, nil
 		}
-		return nil, nil, verdict.ComeBack(verdict.OutOfOrder, ownerRetry, "call %q is under way", l.running.call.RequestId)
+		return nil, nil, verdict.RetryLater(verdict.OutOfOrder, ownerRetry, "call %q is under way", l.running.call.RequestId)
 	}
 	if l.ending {
 		return nil, nil, verdict.Refuse(verdict.Ended, "program is ending")
--- a/internal/rookpassd/holder/holder.go
+++ b/internal/rookpassd/holder/holder.go
@@ -161,11 +161,11 @@
 	if s := h.shards[number].Load(); s != nil {
 		return s, nil
 	}
-	return nil, verdict.ComeBack(verdict.NotOwner, ownerRetry, "partition %d is not here", number)
+	return nil, verdict.RetryLater(verdict.NotOwner, ownerRetry, "partition %d is not here", number)
 }
 
 // errMoved answers for a partition that is being handed over.
-var errMoved = verdict.ComeBack(verdict.NotOwner, ownerRetry, "partition is moving to another daemon")
+var errMoved = verdict.RetryLater(verdict.NotOwner, ownerRetry, "partition is moving to another daemon")
 
 // ownerRetry is when to come back for a partition that is moving.
 const ownerRetry = 100 * time.Millisecond
@@ -203,11 +203,11 @@
 func journalError(err error) error {
 	switch {
 	case errors.Is(err, journal.ErrFull):
-		return verdict.ComeBack(verdict.Unavailable, outageRetry, "object API is away and the journal is full")
+		return verdict.RetryLater(verdict.Unavailable, outageRetry, "object API is away and the journal is full")
 	case errors.Is(err, journal.ErrSealed):
-		return verdict.ComeBack(verdict.NotOwner, ownerRetry, "another daemon took over")
+		return verdict.RetryLater(verdict.NotOwner, ownerRetry, "another daemon took over")
 	default:
-		return verdict.ComeBack(verdict.Unavailable, outageRetry, "journal: %v", err)
+		return verdict.RetryLater(verdict.Unavailable, outageRetry, "journal: %v", err)
 	}
 }
 
--- a/internal/rookpassd/holder/lifecycle.go
+++ b/internal/rookpassd/holder/lifecycle.go
@@ -49,7 +49,7 @@
 	s.mu.Unlock()
 	entry, err := h.append(s, func() ([]*peerv1.Record, error) {
 		if l := s.programs[id]; l != nil {
-			return nil, verdict.ComeBack(verdict.Unavailable, ownerRetry, "program is being started")
+			return nil, verdict.RetryLater(verdict.Unavailable, ownerRetry, "program is being started")
 		}
 		return []*peerv1.Record{startedRecord(id, started)}, nil
 	})
--- a/internal/rookpassd/ownership/claim.go
+++ b/internal/rookpassd/ownership/claim.go
@@ -166,10 +166,10 @@
 // last segment of its log.
 func (c *Controller) Prepare(incarnation string, number uint32) (uint64, error) {
 	if incarnation != c.Incarnation {
-		return 0, verdict.ComeBack(verdict.NotOwner, retryPause, "incarnation %s is over", incarnation)
+		return 0, verdict.RetryLater(verdict.NotOwner, retryPause, "incarnation %s is over", incarnation)
 	}
 	if c.draining.Load() {
-		return 0, verdict.ComeBack(verdict.Unavailable, retryPause, "daemon is draining")
+		return 0, verdict.RetryLater(verdict.Unavailable, retryPause, "daemon is draining")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,7 +185,7 @@
 	c.mu.Unlock()
 	// Once the grace has passed, the partition is being recovered from the log: the state comes too late.
 	if incarnation != c.Incarnation || !expected {
-		return verdict.ComeBack(verdict.NotOwner, retryPause, "hand-over was not expected")
+		return verdict.RetryLater(verdict.NotOwner, retryPause, "hand-over was not expected")
 	}
 	return c.Holder.Adopt(number, epoch, programs)
 }
--- a/internal/rookpassd/peer/messages.go
+++ b/internal/rookpassd/peer/messages.go
@@ -33,7 +33,7 @@
 	case f.Code == "":
 		return nil
 	case f.Verdict == verdict.NotRun:
-		return verdict.ComeBack(f.Code, f.RetryAfter, "%s", f.Message)
+		return verdict.RetryLater(f.Code, f.RetryAfter, "%s", f.Message)
 	default:
 		return verdict.Unknown(f.Code, f.RetryAfter, "%s", f.Message)
 	}
--- a/internal/rookpassd/route/router.go
+++ b/internal/rookpassd/route/router.go
@@ -148,5 +148,5 @@
 	if mayHaveRun {
 		return verdict.Unknown(code, noOwnerRetry, "%s (last: %v)", reason, last)
 	}
-	return verdict.ComeBack(code, noOwnerRetry, "%s (last: %v)", reason, last)
+	return verdict.RetryLater(code, noOwnerRetry, "%s (last: %v)", reason, last)
 }
--- a/internal/rookpassd/sent/sent.go
+++ b/internal/rookpassd/sent/sent.go
@@ -42,7 +42,7 @@
 	if f.Left() {
 		return verdict.Unknown(verdict.Lost, lostRetry, "%v", err)
 	}
-	return verdict.ComeBack(verdict.Unavailable, connectRetry, "%v", err)
+	return verdict.RetryLater(verdict.Unavailable, connectRetry, "%v", err)
 }
 
 // Answered tells whether an error came from rookpass code at the other end.
--- a/internal/rookpassd/spending/spending.go
+++ b/internal/rookpassd/spending/spending.go
@@ -191,11 +191,11 @@
 		}
 		_ = wait.For(ctx, attemptPause) // The next attempt finds that ctx has ended.
 	}
-	return verdict.ComeBack(verdict.Overloaded, attemptPause*maxAttempts, "organisation's budget is being changed")
+	return verdict.RetryLater(verdict.Overloaded, attemptPause*maxAttempts, "organisation's budget is being changed")
 }
 
 func unavailable(err error) error {
-	return verdict.ComeBack(verdict.Unavailable, apiRetry, "organisation's budget can't be read: %v", err)
+	return verdict.RetryLater(verdict.Unavailable, apiRetry, "organisation's budget can't be read: %v", err)
 }
 
 func (l *Ledger) read(ctx context.Context, key string) (*peerv1.Spending, uint64, error) {
