--- a/internal/base/place/place.go
+++ b/internal/base/place/place.go
@@ -14,15 +14,15 @@
 	Away
 )
 
-// Map is what a daemon knows of places. The zero value knows of one region alone.
-type Map struct {
+// Topology is what a daemon knows of places. The zero value knows of one region alone.
+type Topology struct {
 	// DataCentre is the daemon's own, Regions the region of each data centre.
 	DataCentre string
 	Regions    map[string]string
 }
 
 // To returns how far a data centre is. One whose region is not known counts as one of this region.
-func (m Map) To(dataCentre string) Distance {
+func (m Topology) To(dataCentre string) Distance {
 	if dataCentre == m.DataCentre {
 		return Here
 	}
--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -88,7 +88,7 @@
 type Balancer struct {
 	// name is this daemon's, which differs from all others'.
 	name  string
-	place place.Map
+	place place.Topology
 	// began is when the balancer was made: turns at cold servers go by the time since.
 	began  time.Time
 	mu     sync.Mutex
@@ -121,7 +121,7 @@
 }
 
 // New returns a balancer of a daemon at a place.
-func New(name string, at place.Map) *Balancer {
+func New(name string, at place.Topology) *Balancer {
 	return &Balancer{name: name, place: at, began: time.Now(), states: map[incarnation.ID]*state{}, means: map[string]float64{}, heads: map[string]float64{},
 		ways: map[string]float64{}, models: map[string]*policy.CostModel{}, calls: map[string]int{}, demand: map[string]*policy.DecayingMax{}}
 }
--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestLoadIsSpread(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	counts := map[incarnation.ID]int{}
 	for range 40 {
 		counts[pick(t, b, balance.Request{Servers: servers(4)}).Server.ID]++
@@ -46,7 +46,7 @@
 }
 
 func TestNeverADrainingOrTriedServer(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	list := servers(3)
 	list[0].Draining = true
 	for range 20 {
@@ -59,7 +59,7 @@
 
 func TestFailingServerIsPassedOverForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := balance.New("front", place.Map{DataCentre: "here"})
+		b := balance.New("front", place.Topology{DataCentre: "here"})
 		fail := func() {
 			choice := pick(t, b, balance.Request{Servers: servers(1)})
 			choice.Done(balance.Failed)
@@ -85,7 +85,7 @@
 }
 
 func TestCallersThatLeaveTellNothing(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	for range 10 {
 		pick(t, b, balance.Request{Servers: servers(1)}).Done(balance.Abandoned)
 	}
@@ -98,7 +98,7 @@
 
 // TestTurnsGoWhereTheirPromptIs: unless that server is far busier.
 func TestTurnsGoWhereTheirPromptIs(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	b.RecordCached(turn.CachedPrompt{Server: id("2"), Part: "own", Held: 3800})
 	ask := balance.Request{Servers: servers(4), PromptTokens: 4000, Parts: []call.PromptPart{{ID: "own", Tokens: 4000}}}
 	for range 4 {
@@ -115,7 +115,7 @@
 }
 
 func TestSharedPartsAreRemembered(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	ask := balance.Request{Servers: servers(6), PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2500}, {ID: "own", Tokens: 500}}}
 	first := pick(t, b, ask)
 	first.Done(balance.Answered)
@@ -124,7 +124,7 @@
 }
 
 func TestForgetsServersThatAreGone(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	choice := pick(t, b, balance.Request{Servers: servers(1)})
 	b.Forget(func(incarnation.ID) bool { return false })
 	choice.Done(balance.Failed)
@@ -136,7 +136,7 @@
 // over until it answers.
 func TestSilentServerGetsNoMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := balance.New("front", place.Map{DataCentre: "here"})
+		b := balance.New("front", place.Topology{DataCentre: "here"})
 		ask := balance.Request{Route: "r", Servers: servers(2)}
 		for range 20 {
 			choice := pick(t, b, ask)
@@ -156,7 +156,7 @@
 
 func TestHedgeFollowsTheRoutesTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := balance.New("front", place.Map{DataCentre: "here"})
+		b := balance.New("front", place.Topology{DataCentre: "here"})
 		unknown := b.HedgeAfter("r")
 		for range 200 {
 			choice := pick(t, b, balance.Request{Route: "r", Servers: servers(2)})
@@ -173,7 +173,7 @@
 // TestOthersWordCounts: a server that others suspect gets nothing, unless too many are suspected or no other
 // is left.
 func TestOthersWordCounts(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	b.SetPeerReports(map[incarnation.ID]int{id("0"): 1}, nil)
 	for range 20 {
 		assert.Assert(t, pick(t, b, balance.Request{Servers: servers(4)}).Server.ID != id("0"))
@@ -189,7 +189,7 @@
 
 // TestCutOffDaemonSuspectsNobody: where most servers seem dead, the daemon's own network is the likelier cause.
 func TestCutOffDaemonSuspectsNobody(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	fail := func(place int) {
 		for range 2 {
 			pick(t, b, balance.Request{Servers: servers(5)[place : place+1]}).Done(balance.Failed)
@@ -209,7 +209,7 @@
 // servers, and holds others up on busy ones.
 func TestPromptsAreReadAnewWhereNobodyWaits(t *testing.T) {
 	for peers, stays := range map[int]bool{0: false, 50: true} {
-		b := balance.New("front", place.Map{DataCentre: "here"})
+		b := balance.New("front", place.Topology{DataCentre: "here"})
 		b.SetPeerCount(peers)
 		list := servers(4)
 		for range 12 { // three calls of this daemon on each server, with other prompts
@@ -228,7 +228,7 @@
 // TestConnectedServersComeFirstAmongEquals: a new connection costs a trip, so it is opened where the connected servers are busier.
 func TestConnectedServersComeFirstAmongEquals(t *testing.T) {
 	for _, tokens := range []int64{0, 100} {
-		b := balance.New("front", place.Map{DataCentre: "here"})
+		b := balance.New("front", place.Topology{DataCentre: "here"})
 		connected := func(s *catalog.Server) bool { return s.ID == id("3") }
 		ask := balance.Request{Servers: servers(20), PromptTokens: tokens, Connected: connected}
 		first := pick(t, b, ask)
--- a/internal/front/balance/cold_test.go
+++ b/internal/front/balance/cold_test.go
@@ -45,7 +45,7 @@
 	random := rand.New(rand.NewPCG(seed, 9))
 	var crowd []*balance.Balancer
 	for i := range daemons {
-		b := balance.New(fmt.Sprint("front-", seed, "-", i), place.Map{DataCentre: "here"})
+		b := balance.New(fmt.Sprint("front-", seed, "-", i), place.Topology{DataCentre: "here"})
 		b.SetPeerCount(daemons - 1)
 		b.SetPeerDemand(map[string]int{"svc": perSecond / 10})
 		crowd = append(crowd, b)
@@ -112,7 +112,7 @@
 
 // TestColdServersWaitForWordOfOthers: a daemon that does not know how many there are sends them nothing.
 func TestColdServersWaitForWordOfOthers(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	list := servers(3)
 	coldUntil := map[incarnation.ID]time.Time{}
 	for _, server := range list {
--- a/internal/front/balance/connections_test.go
+++ b/internal/front/balance/connections_test.go
@@ -72,7 +72,7 @@
 		for i := range 145 { // those of its own data centre first
 			list = append(list, &catalog.Server{ID: id(fmt.Sprint(i)), Service: "svc", DataCentre: fmt.Sprint("dc", i/29), Slots: 6})
 		}
-		b := balance.New("front", place.Map{DataCentre: "dc0"})
+		b := balance.New("front", place.Topology{DataCentre: "dc0"})
 		connections := &resting{since: map[incarnation.ID]time.Time{}}
 		calls := 0
 		for began := time.Now(); time.Since(began) < time.Minute; {
--- a/internal/front/balance/connecttime_test.go
+++ b/internal/front/balance/connecttime_test.go
@@ -22,7 +22,7 @@
 	ask := func() balance.Request {
 		return balance.Request{Route: "r", Servers: list, PromptTokens: 900, Parts: []call.PromptPart{{ID: "shared", Tokens: 800}}}
 	}
-	b := balance.New("front", place.Map{DataCentre: "a1", Regions: regions})
+	b := balance.New("front", place.Topology{DataCentre: "a1", Regions: regions})
 	for range 50 {
 		b.RecordConnectTime("b1", 30*time.Millisecond)
 	}
@@ -44,7 +44,7 @@
 	for i := range 8 {
 		list = append(list, &catalog.Server{ID: id(fmt.Sprint(i)), Service: "svc", DataCentre: []string{"a1", "b1"}[i/4], Slots: 6})
 	}
-	b := balance.New("front", place.Map{DataCentre: "a1", Regions: regions})
+	b := balance.New("front", place.Topology{DataCentre: "a1", Regions: regions})
 	for range 4 {
 		assert.Equal(t, pick(t, b, balance.Request{Route: "r", Servers: list}).Server.DataCentre, "a1")
 	}
--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -18,7 +18,7 @@
 
 func TestServersThatFailManyAreLeftAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := balance.New("front", place.Map{DataCentre: "here"})
+		b := balance.New("front", place.Topology{DataCentre: "here"})
 		b.SetPeerReports(nil, map[incarnation.ID]int{id("0"): 3, id("1"): 2})
 		seen := map[incarnation.ID]bool{}
 		for range 60 {
@@ -55,7 +55,7 @@
 func newCrowd(daemons, servers int, tells bool) *crowd {
 	c := &crowd{hub: exchange.NewService(), random: rand.New(rand.NewPCG(1, 2)), tells: tells}
 	for range daemons {
-		c.daemons = append(c.daemons, balance.New("front", place.Map{DataCentre: "here"}))
+		c.daemons = append(c.daemons, balance.New("front", place.Topology{DataCentre: "here"}))
 	}
 	for i := range servers {
 		c.servers = append(c.servers, &catalog.Server{ID: id(fmt.Sprint(i)), Service: "svc", DataCentre: "here", Slots: 6})
--- a/internal/front/balance/memory_test.go
+++ b/internal/front/balance/memory_test.go
@@ -24,7 +24,7 @@
 // TestMemoryFollowsTheServersMet, and not those that there are.
 func TestMemoryFollowsTheServersMet(t *testing.T) {
 	list := servers(10_000)
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	before := liveBytes()
 	for range 10 {
 		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2560}}}
@@ -43,7 +43,7 @@
 // BenchmarkTurn is the choice of a server for a turn among 5,000, of which a daemon has met few.
 func BenchmarkTurn(b *testing.B) {
 	list := servers(5000)
-	balancer := balance.New("front", place.Map{DataCentre: "here"})
+	balancer := balance.New("front", place.Topology{DataCentre: "here"})
 	balancer.SetPeerDemand(map[string]int{"svc": 60})
 	for b.Loop() {
 		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2560}}}
--- a/internal/front/balance/parts_test.go
+++ b/internal/front/balance/parts_test.go
@@ -50,7 +50,7 @@
 	list := []*catalog.Server{{ID: a, Slots: 8}, {ID: b, Slots: 8}, {ID: c, Slots: 8}}
 	prompt := []call.PromptPart{{ID: "shared", Tokens: 500}, {ID: "parent", Tokens: 2000}, {ID: "session", Tokens: 700}}
 	for range 20 {
-		balancer := New("front", place.Map{})
+		balancer := New("front", place.Topology{})
 		balancer.RecordCached(turn.CachedPrompt{Server: b, Part: "parent", Held: 2000})
 		balancer.RecordCached(turn.CachedPrompt{Server: c, Part: "session", Held: 400})
 		choice, found := balancer.Pick(&Request{Servers: list, PromptTokens: 3200, Parts: prompt})
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -30,7 +30,7 @@
 // TestNothingIsCarriedOverToTheNextStart: neither what a server holds of prompts, nor its speed, failures and load, nor what
 // others say of it.
 func TestNothingIsCarriedOverToTheNextStart(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	old, new := startsOf("a", 1), startsOf("a", 2)
 	b.RecordCached(turn.CachedPrompt{Server: old[0].ID, Part: "own", Held: 900})
 	for range 3 {
@@ -51,7 +51,7 @@
 
 // TestCallsAtEarlierStartsEnd: as soon as the later start is known, those that begin too late as well.
 func TestCallsAtEarlierStartsEnd(t *testing.T) {
-	b := balance.New("front", place.Map{DataCentre: "here"})
+	b := balance.New("front", place.Topology{DataCentre: "here"})
 	causes := map[string]context.Context{}
 	bind := func(name string, server []*catalog.Server) *balance.Choice {
 		choice := pick(t, b, balance.Request{Servers: server})
--- a/internal/front/balance/subset_test.go
+++ b/internal/front/balance/subset_test.go
@@ -67,7 +67,7 @@
 	}
 	for i := range daemons {
 		at := i % thinDataCentres
-		f.daemons = append(f.daemons, &thinDaemon{balancer: balance.New(fmt.Sprint("front-", i), place.Map{DataCentre: fmt.Sprint("dc", at)}), servers: orders[at]})
+		f.daemons = append(f.daemons, &thinDaemon{balancer: balance.New(fmt.Sprint("front-", i), place.Topology{DataCentre: fmt.Sprint("dc", at)}), servers: orders[at]})
 	}
 	return f
 }
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -19,7 +19,7 @@
 type ServersOptions struct {
 	Catalog *Catalog
 	// Topology is where this daemon stands.
-	Topology place.Map
+	Topology place.Topology
 	// Prefix is the part of a key before a server's name.
 	Prefix      string
 	Decode      DecodeServer
--- a/internal/front/catalog/snapshot.go
+++ b/internal/front/catalog/snapshot.go
@@ -83,7 +83,7 @@
 func (s *ServerSnapshot) All() []*Server { return s.byName }
 
 // with returns the servers after a change of those named, as now tells. What did not change is copied, not looked at.
-func (s *ServerSnapshot) with(revision uint64, at place.Map, changed map[string]bool, now func(name string) *Server) *ServerSnapshot {
+func (s *ServerSnapshot) with(revision uint64, at place.Topology, changed map[string]bool, now func(name string) *Server) *ServerSnapshot {
 	var before, after []*Server
 	services := map[string]bool{}
 	for name := range changed {
@@ -151,7 +151,7 @@
 func byName(a, b *Server) int { return strings.Compare(a.ID.Server, b.ID.Server) }
 
 // byPreference returns the order of a service's servers for a daemon at a place.
-func byPreference(at place.Map) func(a, b *Server) int {
+func byPreference(at place.Topology) func(a, b *Server) int {
 	return func(a, b *Server) int {
 		return cmp.Or(cmp.Compare(at.To(a.DataCentre), at.To(b.DataCentre)), cmp.Compare(xxhash.Sum64String(a.ID.Server), xxhash.Sum64String(b.ID.Server)), byName(a, b))
 	}
--- a/internal/front/catalog/snapshot_test.go
+++ b/internal/front/catalog/snapshot_test.go
@@ -47,7 +47,7 @@
 
 func placed(c *catalog.Catalog, dataCentre string) catalog.ServersOptions {
 	o := options(c)
-	o.Decode, o.Topology = decodeWritten, place.Map{DataCentre: dataCentre}
+	o.Decode, o.Topology = decodeWritten, place.Topology{DataCentre: dataCentre}
 	return o
 }
 
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -38,12 +38,12 @@
 // TestFewDaemonsMeetAtOnePlaceAndManyInTheirDataCentre, and where no hub of it answers, at another's.
 func TestFewDaemonsMeetAtOnePlaceAndManyInTheirDataCentre(t *testing.T) {
 	disks := disksOf(3, 2)
-	at := place.Map{DataCentre: "dc1"}
+	at := place.Topology{DataCentre: "dc1"}
 	for _, daemons := range []int{0, 8, 150} {
 		assert.DeepEqual(t, exchange.HubCandidates(disks, at, daemons)[0], "hub-0:1")
 	}
 	assert.DeepEqual(t, exchange.HubCandidates(disks, at, 151), []string{"hub-1:1", "hub-4:1", "hub-0:1", "hub-2:1", "hub-3:1", "hub-5:1"})
-	assert.DeepEqual(t, exchange.HubCandidates(disks, place.Map{DataCentre: "elsewhere"}, 865)[0], "hub-0:1")
+	assert.DeepEqual(t, exchange.HubCandidates(disks, place.Topology{DataCentre: "elsewhere"}, 865)[0], "hub-0:1")
 }
 
 // TestRegionsHaveHubsOfTheirOwn, however few daemons there are.
@@ -51,7 +51,7 @@
 	disks := disksOf(3, 2)
 	regions := map[string]string{"dc0": "a", "dc1": "b", "dc2": "b"}
 	for dataCentre, want := range map[string]string{"dc0": "hub-0:1", "dc1": "hub-1:1", "dc2": "hub-1:1"} {
-		assert.Equal(t, exchange.HubCandidates(disks, place.Map{DataCentre: dataCentre, Regions: regions}, 8)[0], want)
+		assert.Equal(t, exchange.HubCandidates(disks, place.Topology{DataCentre: dataCentre, Regions: regions}, 8)[0], want)
 	}
 	assert.DeepEqual(t, exchange.HubsByArea(disks, regions, false), map[string][]string{
 		"a": {"hub-0:1", "hub-3:1"}, "b": {"hub-1:1", "hub-2:1", "hub-4:1", "hub-5:1"}})
@@ -117,7 +117,7 @@
 
 // ask swaps at the first hub that answers.
 func (h *hubs) ask(ctx context.Context, dataCentre string, daemons int, args *exchange.Args) *exchange.Reply {
-	for _, place := range exchange.HubCandidates(h.disks, place.Map{DataCentre: dataCentre}, daemons) {
+	for _, place := range exchange.HubCandidates(h.disks, place.Topology{DataCentre: dataCentre}, daemons) {
 		if reply, err := exchange.Swap(ctx, h.links.LinkTo(place), args); err == nil {
 			return reply
 		}
--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -181,7 +181,7 @@
 		t.Cleanup(s.Close)
 		r.objects = append(r.objects, objectapi.Object{Key: fmt.Sprintf("s/%d", i), Value: []byte(s.Listener.Addr().String())})
 	}
-	balancer := balance.New("front", place.Map{DataCentre: "here"})
+	balancer := balance.New("front", place.Topology{DataCentre: "here"})
 	r.entries = catalog.NewServersHandler(catalog.ServersOptions{Catalog: r.catalog, Prefix: "s/", Decode: decodeServer,
 		LeaseExpiry: policy.NewLeaseExpiry(time.Second), Log: log, OnStarted: func(id incarnation.ID) { balancer.ServerStarted(id) }})
 	r.entries.Reset(r.objects, 1)
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -180,7 +180,7 @@
 
 // ledger returns a ledger on a host of its own that knows the layout in force.
 func (c *cluster) ledger(host string) *ledger.Ledger {
-	l := ledger.New(peerlink.NewSet(dialFrom(c.fabric, host)), place.Map{DataCentre: host}, 1, c.log)
+	l := ledger.New(peerlink.NewSet(dialFrom(c.fabric, host)), place.Topology{DataCentre: host}, 1, c.log)
 	l.UpdateLayout(c.current())
 	c.t.Cleanup(func() { assert.NilError(c.t, l.Flush(context.Background())) })
 	return l
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -51,7 +51,7 @@
 type Ledger struct {
 	links  *peerlink.Pool
 	log    logrus.FieldLogger
-	place  place.Map
+	place  place.Topology
 	layout atomic.Pointer[layout.Layout]
 	cache  *cache
 	// failed has when a disk, by its ID, last did not answer.
@@ -61,7 +61,7 @@
 }
 
 // New returns a ledger of a daemon at a place. cacheBytes bounds the turns kept in memory.
-func New(links *peerlink.Pool, at place.Map, cacheBytes int, log logrus.FieldLogger) *Ledger {
+func New(links *peerlink.Pool, at place.Topology, cacheBytes int, log logrus.FieldLogger) *Ledger {
 	return &Ledger{links: links, place: at, cache: newCache(cacheBytes), log: log}
 }
 
--- a/internal/turns/replica/controller.go
+++ b/internal/turns/replica/controller.go
@@ -33,7 +33,7 @@
 	store       *Store
 	api         objectapi.API
 	links       *peerlink.Pool
-	place       place.Map
+	place       place.Topology
 	retirements Retirements
 	log         logrus.FieldLogger
 	key         string
@@ -61,7 +61,7 @@
 	Retirements Retirements
 	Log         logrus.FieldLogger
 	// Topology is where this daemon stands.
-	Topology place.Map
+	Topology place.Topology
 	// LayoutKey is the layout's object. CandidatesPrefix is the prefix of the objects by which the first disks enter themselves.
 	LayoutKey, CandidatesPrefix string
 	// FirstStart tells that the system starts with empty disks.
