--- a/internal/base/place/place.go
+++ b/internal/base/place/place.go
@@ -21,8 +21,8 @@
 	Regions    map[string]string
 }
 
-// To returns how far a data centre is. One whose region is not known counts as one of this region.
-func (m Topology) To(dataCentre string) Distance {
+// DistanceTo returns how far a data centre is. One whose region is not known counts as one of this region.
+func (m Topology) DistanceTo(dataCentre string) Distance {
 	if dataCentre == m.DataCentre {
 		return Here
 	}
--- a/internal/front/catalog/snapshot.go
+++ b/internal/front/catalog/snapshot.go
@@ -153,7 +153,7 @@
 // byPreference returns the order of a service's servers for a daemon at a place.
 func byPreference(at place.Topology) func(a, b *Server) int {
 	return func(a, b *Server) int {
-		return cmp.Or(cmp.Compare(at.To(a.DataCentre), at.To(b.DataCentre)), cmp.Compare(xxhash.Sum64String(a.ID.Server), xxhash.Sum64String(b.ID.Server)), byName(a, b))
+		return cmp.Or(cmp.Compare(at.DistanceTo(a.DataCentre), at.DistanceTo(b.DataCentre)), cmp.Compare(xxhash.Sum64String(a.ID.Server), xxhash.Sum64String(b.ID.Server)), byName(a, b))
 	}
 }
 
--- a/internal/front/exchange/hubs.go
+++ b/internal/front/exchange/hubs.go
@@ -14,7 +14,7 @@
 	}
 	var near, others []string
 	for _, disk := range disks {
-		if at.To(disk.DataCentre) <= farthest {
+		if at.DistanceTo(disk.DataCentre) <= farthest {
 			near = append(near, disk.Address)
 		} else {
 			others = append(others, disk.Address)
--- a/internal/node/readers.go
+++ b/internal/node/readers.go
@@ -52,7 +52,7 @@
 	rank := func(d layout.Disk) uint64 { return xxhash.Sum64String(b.settings.Node + " " + d.Node) }
 	at := b.settings.Topology()
 	slices.SortFunc(disks, func(a, b layout.Disk) int {
-		return cmp.Or(cmp.Compare(at.To(a.DataCentre), at.To(b.DataCentre)), cmp.Compare(rank(a), rank(b)))
+		return cmp.Or(cmp.Compare(at.DistanceTo(a.DataCentre), at.DistanceTo(b.DataCentre)), cmp.Compare(rank(a), rank(b)))
 	})
 	return disks
 }
--- a/internal/turns/ledger/chain.go
+++ b/internal/turns/ledger/chain.go
@@ -147,7 +147,7 @@
 		if slot.Joining != nil || slot.Leaving {
 			return beingGivenUp
 		}
-		return int(l.place.To(slot.Disk.DataCentre))
+		return int(l.place.DistanceTo(slot.Disk.DataCentre))
 	}
 	slices.SortStableFunc(slots, func(a, b int) int { return distance(a) - distance(b) })
 	return slots
--- a/internal/turns/replica/takeover.go
+++ b/internal/turns/replica/takeover.go
@@ -104,7 +104,9 @@
 			sources = append(sources, disk)
 		}
 	}
-	slices.SortStableFunc(sources, func(a, b layout.Disk) int { return int(c.place.To(a.DataCentre)) - int(c.place.To(b.DataCentre)) })
+	slices.SortStableFunc(sources, func(a, b layout.Disk) int {
+		return int(c.place.DistanceTo(a.DataCentre)) - int(c.place.DistanceTo(b.DataCentre))
+	})
 	for _, from := range sources {
 		n, problem := c.pull(ctx, l, from, missing)
 		copied += n
