--- a/internal/base/place/place.go
+++ b/internal/base/place/place.go
@@ -6,8 +6,8 @@
 
 // The distances, the nearest first.
 const (
-	// Here is the same data centre.
-	Here Distance = iota
+	// SameDataCentre is the same data centre.
+	SameDataCentre Distance = iota
 	// Region is another data centre of the same region, a few milliseconds away.
 	Region
 	// Away is another region: the way is long, and its links are shared by all traffic between the two.
@@ -24,7 +24,7 @@
 // DistanceTo returns how far a data centre is. One whose region is not known counts as one of this region.
 func (m Topology) DistanceTo(dataCentre string) Distance {
 	if dataCentre == m.DataCentre {
-		return Here
+		return SameDataCentre
 	}
 	region, known := m.Regions[dataCentre]
 	if own, ownKnown := m.Regions[m.DataCentre]; known && ownKnown && region != own {
--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -277,7 +277,7 @@
 
 // cost is what a request is expected to take: seconds at a model server, a count of requests elsewhere.
 func (b *Balancer) cost(ask *Request, server *catalog.Server, s *state) float64 {
-	remote, away := b.place.DistanceTo(server.DataCentre) != place.Here, b.away(server.DataCentre)
+	remote, away := b.place.DistanceTo(server.DataCentre) != place.SameDataCentre, b.away(server.DataCentre)
 	connect := ask.Connected != nil && !ask.Connected(server)
 	slowness := s.pace.CostFactor()
 	if ask.PromptTokens == 0 {
--- a/internal/front/exchange/hubs.go
+++ b/internal/front/exchange/hubs.go
@@ -10,7 +10,7 @@
 func HubCandidates(disks []layout.Disk, at place.Topology, daemons int) []string {
 	farthest := place.Region
 	if daemons > crowd {
-		farthest = place.Here
+		farthest = place.SameDataCentre
 	}
 	var near, others []string
 	for _, disk := range disks {
