--- a/internal/base/place/place.go
+++ b/internal/base/place/place.go
@@ -8,8 +8,8 @@
 const (
 	// SameDataCentre is the same data centre.
 	SameDataCentre Distance = iota
-	// Region is another data centre of the same region, a few milliseconds away.
-	Region
+	// SameRegion is another data centre of the same region, a few milliseconds away.
+	SameRegion
 	// Away is another region: the way is long, and its links are shared by all traffic between the two.
 	Away
 )
@@ -30,5 +30,5 @@
 	if own, ownKnown := m.Regions[m.DataCentre]; known && ownKnown && region != own {
 		return Away
 	}
-	return Region
+	return SameRegion
 }
--- a/internal/front/exchange/hubs.go
+++ b/internal/front/exchange/hubs.go
@@ -8,7 +8,7 @@
 // HubCandidates returns where the hub of a daemon at a place may be, the likeliest first: few daemons all meet at the first disk's
 // daemon in their region, more than crowd at the first of their data centre.
 func HubCandidates(disks []layout.Disk, at place.Topology, daemons int) []string {
-	farthest := place.Region
+	farthest := place.SameRegion
 	if daemons > crowd {
 		farthest = place.SameDataCentre
 	}
