--- a/internal/base/place/place.go
+++ b/internal/base/place/place.go
@@ -10,8 +10,8 @@
 	SameDataCentre Distance = iota
 	// SameRegion is another data centre of the same region, a few milliseconds away.
 	SameRegion
-	// Away is another region: the way is long, and its links are shared by all traffic between the two.
-	Away
+	// OtherRegion is another region: the way is long, and its links are shared by all traffic between the two.
+	OtherRegion
 )
 
 // Topology is what a daemon knows of places. The zero value knows of one region alone.
@@ -28,7 +28,7 @@
 	}
 	region, known := m.Regions[dataCentre]
 	if own, ownKnown := m.Regions[m.DataCentre]; known && ownKnown && region != own {
-		return Away
+		return OtherRegion
 	}
 	return SameRegion
 }
--- a/internal/front/balance/connecttime.go
+++ b/internal/front/balance/connecttime.go
@@ -24,7 +24,7 @@
 
 // away returns how long the way to another region and back takes, in seconds; 0 within the own one, whose ways are short.
 func (b *Balancer) away(dataCentre string) float64 {
-	if b.place.DistanceTo(dataCentre) != place.Away {
+	if b.place.DistanceTo(dataCentre) != place.OtherRegion {
 		return 0
 	}
 	if way, known := b.ways[dataCentre]; known {
--- a/internal/turns/ledger/chain.go
+++ b/internal/turns/ledger/chain.go
@@ -138,7 +138,7 @@
 }
 
 // beingGivenUp is farther away than any data centre.
-const beingGivenUp = int(place.Away) + 1
+const beingGivenUp = int(place.OtherRegion) + 1
 
 // nearestFirst sorts slots: the nearest first, those that are being given up last.
 func (l *Ledger) nearestFirst(current *layout.Layout, slots []int) []int {
