--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -35,8 +35,8 @@
 
 var off atomic.Uint32
 
-// On tells whether a guard protects.
-func On(g Guard) bool { return off.Load()&uint32(g) == 0 }
+// Enabled tells whether a guard protects.
+func Enabled(g Guard) bool { return off.Load()&uint32(g) == 0 }
 
 // Off switches guards off until the returned function is called.
 func Off(g Guard) (restore func()) {
--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -147,7 +147,7 @@
 		s = r.newServer(name, backend)
 	}
 	s.capacity = r.share(backend.MaxConcurrency)
-	s.draining = backend.Draining && guard.On(guard.Draining)
+	s.draining = backend.Draining && guard.Enabled(guard.Draining)
 	s.remote = backend.DataCentre != r.options.DataCentre
 	s.pools = nil
 	next.servers[name] = s
--- a/internal/rookpassd/holder/budget.go
+++ b/internal/rookpassd/holder/budget.go
@@ -26,7 +26,7 @@
 
 // checkBudget refuses a call whose worst case does not fit into what is left.
 func checkBudget(l *live, worst int64) error {
-	if worst > l.Unspent() && guard.On(guard.Budget) {
+	if worst > l.Unspent() && guard.Enabled(guard.Budget) {
 		return verdict.Refuse(verdict.BudgetExhausted, "the call may cost %d tokens, %d are left", worst, l.Unspent())
 	}
 	return nil
--- a/internal/rookpassd/ownership/seal.go
+++ b/internal/rookpassd/ownership/seal.go
@@ -52,7 +52,7 @@
 func (c *Controller) seal(ctx context.Context, view *cluster.View, daemon cluster.VersionedDaemon) error {
 	after := min(daemon.LogPosition, firstNeeded(view, daemon.Incarnation)-1)
 	seal := journal.Seal
-	if !guard.On(guard.Seal) {
+	if !guard.Enabled(guard.Seal) {
 		seal = journal.ReadOpen
 	}
 	segments, err := seal(ctx, c.API, daemon.Incarnation, after, c.Incarnation, "daemon does not answer")
