--- a/cmd/rookpass-measure/main.go
+++ b/cmd/rookpass-measure/main.go
@@ -228,7 +228,7 @@
 		t.program = program
 	}
 	if w.loose {
-		defer guard.Off(guard.Durable)()
+		defer guard.Disable(guard.Durable)()
 	}
 	mallocs, cpu := mallocsNow(), cpuNow()
 	for i := range callsPerProgram {
--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -38,8 +38,8 @@
 // Enabled tells whether a guard protects.
 func Enabled(g Guard) bool { return off.Load()&uint32(g) == 0 }
 
-// Off switches guards off until the returned function is called.
-func Off(g Guard) (restore func()) {
+// Disable switches guards off until the returned function is called.
+func Disable(g Guard) (restore func()) {
 	old := off.Load()
 	off.Store(old | uint32(g))
 	return func() { off.Store(old) }
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -138,7 +138,7 @@
 			var protected, unprotected []violation
 			testbubble.Run(t, func(t *testing.T) { protected = course(t, g) })
 			assert.Equal(t, len(protected), 0, "with the guard on: %v", protected)
-			restore := guard.Off(g.guard)
+			restore := guard.Disable(g.guard)
 			defer restore()
 			testbubble.Run(t, func(t *testing.T) { unprotected = course(t, g) })
 			caught := slices.ContainsFunc(unprotected, func(v violation) bool { return v.promise == g.promise })
