--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -9,8 +9,8 @@
 
 // The guards.
 const (
-	// Order refuses a call whose sequence is not the program's next.
-	Order Guard = 1 << iota
+	// SequenceCheck refuses a call whose sequence is not the program's next.
+	SequenceCheck Guard = 1 << iota
 	// Seal ends a dead daemon's log before its partitions are taken.
 	Seal
 	// Budget refuses a call whose worst case is not left in the budget.
--- a/internal/rookpassd/program/program.go
+++ b/internal/rookpassd/program/program.go
@@ -213,7 +213,7 @@
 	if p.snap.Ended {
 		return nil, verdict.Refuse(verdict.Ended, "program has ended: %s", p.snap.EndReason)
 	}
-	if next := p.NextSequence(); call.Sequence != next && guard.Enabled(guard.Order) {
+	if next := p.NextSequence(); call.Sequence != next && guard.Enabled(guard.SequenceCheck) {
 		return nil, verdict.Refuse(verdict.OutOfOrder, "next sequence is %d, not %d", next, call.Sequence)
 	}
 	return nil, nil
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -24,7 +24,7 @@
 }
 
 var guards = []guarded{
-	{inOrder, guard.Order, func(_ *cluster, a *agent) []violation {
+	{inOrder, guard.SequenceCheck, func(_ *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		_, _ = a.call(modelCall(id, 1))
 		_, _ = a.call(modelCall(id, 3)) // Out of order: must be refused.
