--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -15,8 +15,8 @@
 	Seal
 	// Budget refuses a call whose worst case is not left in the budget.
 	Budget
-	// Release makes engines drop the cache of ended programs.
-	Release
+	// CacheRelease makes engines drop the cache of ended programs.
+	CacheRelease
 	// Durable holds a final answer back until its record is durable.
 	Durable
 	// Verdict calls a request that may have left "may have run".
--- a/internal/rookpassd/holds/controller.go
+++ b/internal/rookpassd/holds/controller.go
@@ -78,7 +78,7 @@
 	compare := time.NewTicker(compareInterval)
 	defer compare.Stop()
 	for {
-		if !guard.Enabled(guard.Release) {
+		if !guard.Enabled(guard.CacheRelease) {
 			return nil
 		}
 		select {
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -60,7 +60,7 @@
 		}
 		return nil
 	}},
-	{memoryFreed, guard.Release, func(_ *cluster, a *agent) []violation { return program(nil, a) }},
+	{memoryFreed, guard.CacheRelease, func(_ *cluster, a *agent) []violation { return program(nil, a) }},
 	{answerWhole, guard.Whole, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		for _, engine := range c.engines {
