--- a/cmd/rookpass-measure/main.go
+++ b/cmd/rookpass-measure/main.go
@@ -228,7 +228,7 @@
 		t.program = program
 	}
 	if w.loose {
-		defer guard.Disable(guard.Durable)()
+		defer guard.Disable(guard.DurableAnswers)()
 	}
 	mallocs, cpu := mallocsNow(), cpuNow()
 	for i := range callsPerProgram {
--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -17,8 +17,8 @@
 	Budget
 	// CacheRelease makes engines drop the cache of ended programs.
 	CacheRelease
-	// Durable holds a final answer back until its record is durable.
-	Durable
+	// DurableAnswers holds a final answer back until its record is durable.
+	DurableAnswers
 	// Verdict calls a request that may have left "may have run".
 	Verdict
 	// Intent makes a call that must not be repeated durable before it leaves.
--- a/internal/rookpassd/holder/holder.go
+++ b/internal/rookpassd/holder/holder.go
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	if entry != nil && !guard.Enabled(guard.Durable) {
+	if entry != nil && !guard.Enabled(guard.DurableAnswers) {
 		entry.Apply()
 		return nil
 	}
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -74,7 +74,7 @@
 		_, _ = a.call(modelCall(id, 1))
 		return nil
 	}},
-	{historyWhole, guard.Durable, func(c *cluster, a *agent) []violation {
+	{historyWhole, guard.DurableAnswers, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		_, _ = a.call(modelCall(id, 1)) // Borrows from the organisation's budget.
 		api(apitest.Down, c.nodes...)
