--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -19,8 +19,8 @@
 	CacheRelease
 	// DurableAnswers holds a final answer back until its record is durable.
 	DurableAnswers
-	// Verdict calls a request that may have left "may have run".
-	Verdict
+	// UncertainVerdict calls a request that may have left "may have run".
+	UncertainVerdict
 	// Intent makes a call that must not be repeated durable before it leaves.
 	Intent
 	// Draining keeps new work from a backend server that is leaving.
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -87,7 +87,7 @@
 		a.elsewhere()
 		return nil
 	}},
-	{notRunTrue, guard.Verdict, func(c *cluster, a *agent) []violation {
+	{notRunTrue, guard.UncertainVerdict, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		c.tool.SetFaults(standin.ServiceFaults{DropAnswer: true})
 		o := &outcome{program: id, call: toolCall(id, 1)}
--- a/internal/transport/httpclient/httpclient.go
+++ b/internal/transport/httpclient/httpclient.go
@@ -224,7 +224,7 @@
 // sendError tells whether a request that failed may have arrived.
 func sendError(addr string, err error) error {
 	var dial *dialError
-	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) || !guard.Enabled(guard.Verdict) {
+	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) || !guard.Enabled(guard.UncertainVerdict) {
 		return fmt.Errorf("%w: %s: %w", ErrNotSent, addr, err)
 	}
 	return fmt.Errorf("%w: %s: %w", ErrNoResponse, addr, err)
