--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -21,8 +21,8 @@
 	DurableAnswers
 	// UncertainVerdict calls a request that may have left "may have run".
 	UncertainVerdict
-	// Intent makes a call that must not be repeated durable before it leaves.
-	Intent
+	// IntentRecord makes a call that must not be repeated durable before it leaves.
+	IntentRecord
 	// Draining keeps new work from a backend server that is leaving.
 	Draining
 	// Finish lets calls under way finish in a planned stop.
--- a/internal/rookpassd/holder/service.go
+++ b/internal/rookpassd/holder/service.go
@@ -25,7 +25,7 @@
 // durable first; from then on it is never sent again, whoever owns the program.
 func (h *Holder) callService(ctx context.Context, s *shard, l *live, r *run, worst int64) (*peerv1.Record, error) {
 	prepare := h.intend
-	if r.call.Idempotent || !guard.Enabled(guard.Intent) {
+	if r.call.Idempotent || !guard.Enabled(guard.IntentRecord) {
 		prepare = h.reserve
 	}
 	if err := prepare(ctx, s, l, r.call, worst); err != nil {
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -101,7 +101,7 @@
 		}
 		return nil
 	}},
-	{atMostOnce, guard.Intent, func(c *cluster, a *agent) []violation {
+	{atMostOnce, guard.IntentRecord, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		c.tool.SetFaults(standin.ServiceFaults{HangMillis: 1000})
 		time.AfterFunc(500*time.Millisecond, func() { c.kill(c.ownerOf(id)) })
