--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -25,8 +25,8 @@
 	IntentRecord
 	// Draining keeps new work from a backend server that is leaving.
 	Draining
-	// Finish lets calls under way finish in a planned stop.
-	Finish
+	// GracefulStop lets calls under way finish in a planned stop.
+	GracefulStop
 	// Whole takes a stream that ends early for a broken call, not for an answer.
 	Whole
 	// Rising keeps an older configuration from replacing a newer one.
--- a/internal/rookpassd/daemon/stop.go
+++ b/internal/rookpassd/daemon/stop.go
@@ -80,7 +80,7 @@
 	in.lease.SetDraining()
 	d.handEverythingOver(ctx, in)
 	var cut error
-	if guard.Enabled(guard.Finish) {
+	if guard.Enabled(guard.GracefulStop) {
 		s.finishCallers(ctx)
 		cut = in.holder.Wait(ctx)
 	}
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -109,7 +109,7 @@
 		return nil
 	}},
 	{leavingLeft, guard.Draining, backendDrain},
-	{nothingCut, guard.Finish, func(c *cluster, a *agent) []violation {
+	{nothingCut, guard.GracefulStop, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		owner := c.ownerOf(id)
 		c.tool.SetFaults(standin.ServiceFaults{HangMillis: 2000})
