--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -27,8 +27,8 @@
 	Draining
 	// GracefulStop lets calls under way finish in a planned stop.
 	GracefulStop
-	// Whole takes a stream that ends early for a broken call, not for an answer.
-	Whole
+	// CompleteStream takes a stream that ends early for a broken call, not for an answer.
+	CompleteStream
 	// Rising keeps an older configuration from replacing a newer one.
 	Rising
 )
--- a/internal/rookpassd/backend/engine.go
+++ b/internal/rookpassd/backend/engine.go
@@ -133,7 +133,7 @@
 	for {
 		select {
 		case event, more := <-events:
-			if !more && !guard.Enabled(guard.Whole) {
+			if !more && !guard.Enabled(guard.CompleteStream) {
 				return Usage{CompletionTokens: *next}, nil
 			}
 			if !more {
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -61,7 +61,7 @@
 		return nil
 	}},
 	{memoryFreed, guard.CacheRelease, func(_ *cluster, a *agent) []violation { return program(nil, a) }},
-	{answerWhole, guard.Whole, func(c *cluster, a *agent) []violation {
+	{answerWhole, guard.CompleteStream, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		for _, engine := range c.engines {
 			engine.SetFaults(standin.EngineFaults{CutAfter: 3, ForgetStreams: true})
