--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -29,8 +29,8 @@
 	GracefulStop
 	// CompleteStream takes a stream that ends early for a broken call, not for an answer.
 	CompleteStream
-	// Rising keeps an older configuration from replacing a newer one.
-	Rising
+	// MonotonicConfig keeps an older configuration from replacing a newer one.
+	MonotonicConfig
 )
 
 var off atomic.Uint32
--- a/internal/rookpassd/config/view.go
+++ b/internal/rookpassd/config/view.go
@@ -113,7 +113,7 @@
 }
 
 func (s *Store) reset(objects []objectapi.Object, version uint64) {
-	if version < s.asOf && guard.Enabled(guard.Rising) {
+	if version < s.asOf && guard.Enabled(guard.MonotonicConfig) {
 		return
 	}
 	s.next = newView()
@@ -188,7 +188,7 @@
 func (s *Store) Confirm(version uint64, _ time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if version >= s.asOf || !guard.Enabled(guard.Rising) {
+	if version >= s.asOf || !guard.Enabled(guard.MonotonicConfig) {
 		s.confirm(version)
 	}
 }
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -117,7 +117,7 @@
 		_, _ = a.call(toolCall(id, 1))
 		return cutRequests(a.history)
 	}},
-	{configRises, guard.Rising, func(c *cluster, _ *agent) []violation {
+	{configRises, guard.MonotonicConfig, func(c *cluster, _ *agent) []violation {
 		// A daemon that has a change in force loses its watch and is given a list from before.
 		watched := watchConfig(c)
 		before, _ := c.store.List(context.Background(), "")
