--- a/internal/base/atomicfile/atomicfile.go
+++ b/internal/base/atomicfile/atomicfile.go
@@ -27,11 +27,11 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	return SyncFolder(filepath.Dir(path))
+	return SyncDir(filepath.Dir(path))
 }
 
-// SyncFolder makes the names in a folder last.
-func SyncFolder(path string) error {
+// SyncDir makes the names in a folder last.
+func SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/turns/turnlog/turnlog.go
+++ b/internal/turns/turnlog/turnlog.go
@@ -185,7 +185,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if err := errors.Join(file.Sync(), atomicfile.SyncFolder(l.dir)); err != nil {
+	if err := errors.Join(file.Sync(), atomicfile.SyncDir(l.dir)); err != nil {
 		return nil, Error.Wrap(errors.Join(err, file.Close()))
 	}
 	l.mu.Lock()
