--- a/internal/base/tlsfiles/issue.go
+++ b/internal/base/tlsfiles/issue.go
@@ -20,9 +20,9 @@
 // serialBits is the size of a certificate's random serial number.
 const serialBits = 120
 
-// Issue makes a development authority and a certificate for each name in a folder: ca.pem, NAME.pem and
+// IssueDevelopment makes a development authority and a certificate for each name in a folder: ca.pem, NAME.pem and
 // NAME-key.pem. The certificates are for the given addresses. An authority that is there already is replaced.
-func Issue(folder string, names []string, addresses []net.IP) error {
+func IssueDevelopment(folder string, names []string, addresses []net.IP) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return Error.Wrap(err)
 	}
--- a/internal/rookpassd/cli/tools.go
+++ b/internal/rookpassd/cli/tools.go
@@ -45,7 +45,7 @@
 		}
 		addresses = append(addresses, address)
 	}
-	if err := tlsfiles.Issue(c.Folder, c.Daemons, addresses); err != nil {
+	if err := tlsfiles.IssueDevelopment(c.Folder, c.Daemons, addresses); err != nil {
 		return err
 	}
 	return c.printf("keys for %s in %s\n", strings.Join(c.Daemons, ", "), c.Folder)
