--- a/internal/base/secret/secret.go
+++ b/internal/base/secret/secret.go
@@ -10,8 +10,8 @@
 // Hash is the stored form of a secret.
 type Hash [sha256.Size]byte
 
-// Of returns a secret's hash.
-func Of(secret string) Hash { return sha256.Sum256([]byte(secret)) }
+// HashOf returns a secret's hash.
+func HashOf(secret string) Hash { return sha256.Sum256([]byte(secret)) }
 
 // fingerprintBytes of a hash tell a few thousand keys apart and let nobody find one.
 const fingerprintBytes = 4
--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -40,7 +40,7 @@
 func (dialect) DecodeRequest(h http.Header) (call.RequestInfo, error) {
 	info := call.RequestInfo{ID: h.Get("Id"), Program: h.Get("Program"), PreviousTurn: h.Get("Previous"), LastEvent: h.Get("After"), MaxOutputTokens: 100}
 	if key := h.Get("Api-Key"); key != "" {
-		info.Key, info.HasKey = secret.Of(key), true
+		info.Key, info.HasKey = secret.HashOf(key), true
 	}
 	if h.Get("Finish") != "" {
 		d, err := time.ParseDuration(h.Get("Finish"))
--- a/internal/front/gateway/organisation_test.go
+++ b/internal/front/gateway/organisation_test.go
@@ -53,7 +53,7 @@
 func organisation(name string, keys ...string) catalog.Organisation {
 	o := catalog.Organisation{Name: name}
 	for _, key := range keys {
-		o.Keys = append(o.Keys, secret.Of(key))
+		o.Keys = append(o.Keys, secret.HashOf(key))
 	}
 	return o
 }
--- a/internal/rookpassd/auth/auth.go
+++ b/internal/rookpassd/auth/auth.go
@@ -32,7 +32,7 @@
 }
 
 // Hash returns the stored form of a secret.
-func Hash(text string) string { return secret.Of(text).Hex() }
+func Hash(text string) string { return secret.HashOf(text).Hex() }
 
 // Header returns the authorization header of a name and secret.
 func Header(name, secret string) string { return "Bearer " + name + ":" + secret }
