--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -67,7 +67,7 @@
 }
 
 // play strikes with each fault at its time.
-func (w *World) play(ctx context.Context) {
+func (w *Cluster) play(ctx context.Context) {
 	began := time.Now()
 	for _, f := range w.plan.Faults {
 		if !sleepUntil(ctx, began.Add(f.At)) {
@@ -88,7 +88,7 @@
 }
 
 // strike does one fault, and undoes it after its time.
-func (w *World) strike(f Fault) {
+func (w *Cluster) strike(f Fault) {
 	switch f.Kind {
 	case Pause, Kill, Term, Wipe, Tear, KillAll:
 		w.strikeProcess(f)
@@ -123,7 +123,7 @@
 	ServerHang: workload.Hang, ServerCut: workload.Cut, ServerSurplus: workload.Surplus, ServerShed: workload.Shed,
 }
 
-func (w *World) strikeProcess(f Fault) {
+func (w *Cluster) strikeProcess(f Fault) {
 	p := w.processes[f.Target%len(w.processes)]
 	disk := w.processes[w.plan.Fronts+f.Target%w.plan.Stores]
 	switch f.Kind {
@@ -163,7 +163,7 @@
 	return errors.Join(err, file.Close())
 }
 
-func (w *World) strikeStore(f Fault) {
+func (w *Cluster) strikeStore(f Fault) {
 	switch f.Kind {
 	case StoreForget:
 		w.store.Compact()
@@ -180,7 +180,7 @@
 }
 
 // strikeLinks harms a daemon's link to the store, that from its callers, and that of one server.
-func (w *World) strikeLinks(f Fault) {
+func (w *Cluster) strikeLinks(f Fault) {
 	m := map[Kind]mode{LinkDelay: delay, LinkReset: reset, LinkOneWay: oneWay, LinkSilent: silent}[f.Kind]
 	p := w.processes[f.Target%len(w.processes)]
 	links := []*proxy{p.store, w.servers[f.Target%len(w.servers)].link}
@@ -197,7 +197,7 @@
 }
 
 // replaceServer drains a server; after a while another one answers at its address.
-func (w *World) replaceServer(f Fault) {
+func (w *Cluster) replaceServer(f Fault) {
 	s := w.servers[f.Target%len(w.servers)]
 	old := s.Leave()
 	w.store.SetServer(old)
@@ -207,7 +207,7 @@
 }
 
 // spoilEntry writes over a server's entry what no server writes, and lets the server write its own again.
-func (w *World) spoilEntry(f Fault) {
+func (w *Cluster) spoilEntry(f Fault) {
 	s := w.servers[f.Target%len(w.servers)]
 	entry := s.Entry()
 	odd := platformtest.InvalidEntries(entry)
@@ -230,7 +230,7 @@
 )
 
 // setBounded takes the bounded organisation away, or brings it back.
-func (w *World) setBounded(there bool) {
+func (w *Cluster) setBounded(there bool) {
 	w.mu.Lock()
 	w.withdrawn = !there
 	w.mu.Unlock()
@@ -243,7 +243,7 @@
 }
 
 // checkLimit asks that no window held more of the bounded organisation's requests than is borne.
-func (w *World) checkLimit() {
+func (w *Cluster) checkLimit() {
 	allowed := (boundedRate*quotaWindow.Seconds()+boundedRate)*(1+quotaExcess) + quotaSlack
 	if n := w.checker.Most(boundedName, quotaWindow); float64(n) > allowed {
 		w.checker.Fail("%d requests of %s ran within %v, of %.0f", n, boundedName, quotaWindow, allowed)
@@ -251,7 +251,7 @@
 }
 
 // heal waits until every fault has been undone and every process runs.
-func (w *World) heal() {
+func (w *Cluster) heal() {
 	w.wg.Wait()
 	for _, s := range w.servers {
 		s.link.set(pass)
@@ -262,7 +262,7 @@
 }
 
 // checkRecovery asks that every caller's last program goes on, and a new one runs whole.
-func (w *World) checkRecovery(callers []*workload.Caller) {
+func (w *Cluster) checkRecovery(callers []*workload.Caller) {
 	var wg sync.WaitGroup
 	for _, c := range callers {
 		wg.Go(c.CheckRecovery)
--- a/internal/testing/soak/world.go
+++ b/internal/testing/soak/world.go
@@ -60,8 +60,8 @@
 	ending bool
 }
 
-// World is a run's processes and stand-ins.
-type World struct {
+// Cluster is a run's processes and stand-ins.
+type Cluster struct {
 	plan      Plan
 	binary    string
 	dir       string
@@ -80,8 +80,8 @@
 
 // NewWorld starts the stand-ins and the daemons of a plan. network picks the second byte of the VMs' loopback
 // addresses, so that runs beside one another do not meet. dir takes settings, disks and logs.
-func NewWorld(plan Plan, binary, dir string, network int) (*World, error) {
-	w := &World{plan: plan, binary: binary, dir: dir, checker: workload.NewChecker(), store: platformtest.NewStore()}
+func NewWorld(plan Plan, binary, dir string, network int) (*Cluster, error) {
+	w := &Cluster{plan: plan, binary: binary, dir: dir, checker: workload.NewChecker(), store: platformtest.NewStore()}
 	// Faults overlap here: a paused daemon, or one that the store turns away, can't know who leaves.
 	w.checker.Excuse(time.Now().Add(24 * time.Hour))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,7 +116,7 @@
 	return w, w.awaitReady()
 }
 
-func (w *World) add(i, network int, store string, seeds []string) error {
+func (w *Cluster) add(i, network int, store string, seeds []string) error {
 	p := &process{class: "front", node: fmt.Sprint("front-", i), ip: fmt.Sprintf("127.%d.0.%d", network, i+1)}
 	if i >= w.plan.Fronts {
 		j := i - w.plan.Fronts
@@ -143,7 +143,7 @@
 }
 
 // configure puts the next version in force.
-func (w *World) configure() {
+func (w *Cluster) configure() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
@@ -155,7 +155,7 @@
 }
 
 // start runs a daemon's program. A daemon that ends without being asked to breaks a promise.
-func (w *World) start(p *process) error {
+func (w *Cluster) start(p *process) error {
 	path := filepath.Join(p.dir, "settings.toml")
 	if err := platformtest.WriteSettings(path, p.settings); err != nil {
 		return err
@@ -210,7 +210,7 @@
 }
 
 // restart ends a daemon, does something to its disk, and starts it again after a time.
-func (w *World) restart(p *process, s syscall.Signal, after time.Duration, disk func(dir string) error) {
+func (w *Cluster) restart(p *process, s syscall.Signal, after time.Duration, disk func(dir string) error) {
 	ended, sent := p.signal(s, true)
 	if !sent {
 		return
@@ -234,7 +234,7 @@
 }
 
 // awaitReady waits until every front says that it is ready.
-func (w *World) awaitReady() error {
+func (w *Cluster) awaitReady() error {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range w.processes {
 		if p.class != "front" {
@@ -267,7 +267,7 @@
 }
 
 // Close ends every process that this world started, by its id, and the stand-ins.
-func (w *World) Close() {
+func (w *Cluster) Close() {
 	w.wg.Wait()
 	for _, p := range w.processes {
 		if ended, sent := p.signal(syscall.SIGKILL, true); sent {
