--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -27,7 +27,7 @@
 
 // Run plays a plan and checks the promises.
 func Run(ctx context.Context, plan Plan, binary, dir string, network int) (Result, error) {
-	w, err := NewWorld(plan, binary, dir, network)
+	w, err := NewCluster(plan, binary, dir, network)
 	if w != nil {
 		defer w.Close()
 	}
--- a/internal/testing/soak/world.go
+++ b/internal/testing/soak/world.go
@@ -78,9 +78,9 @@
 	withdrawn bool
 }
 
-// NewWorld starts the stand-ins and the daemons of a plan. network picks the second byte of the VMs' loopback
+// NewCluster starts the stand-ins and the daemons of a plan. network picks the second byte of the VMs' loopback
 // addresses, so that runs beside one another do not meet. dir takes settings, disks and logs.
-func NewWorld(plan Plan, binary, dir string, network int) (*Cluster, error) {
+func NewCluster(plan Plan, binary, dir string, network int) (*Cluster, error) {
 	w := &Cluster{plan: plan, binary: binary, dir: dir, checker: workload.NewChecker(), store: platformtest.NewStore()}
 	// Faults overlap here: a paused daemon, or one that the store turns away, can't know who leaves.
 	w.checker.Excuse(time.Now().Add(24 * time.Hour))
