--- a/cmd/rookpass-soak/main.go
+++ b/cmd/rookpass-soak/main.go
@@ -91,7 +91,7 @@
 	size := soak.Size{Fronts: o.Fronts, Stores: o.Stores, Servers: o.Servers, Callers: o.Callers, Length: time.Duration(o.Seconds) * time.Second}
 	var list []soak.Plan
 	for i := range o.Runs {
-		list = append(list, soak.Draw(seed+uint64(i), size))
+		list = append(list, soak.GeneratePlan(seed+uint64(i), size))
 	}
 	return list, nil
 }
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -90,9 +90,9 @@
 // diskRest is the time that a lost disk needs before another may be lost: its restart and refill.
 const diskRest = 6 * time.Second
 
-// Draw returns the plan of a seed: series of faults that may overlap, but never more disks lost at once than
+// GeneratePlan returns the plan of a seed: series of faults that may overlap, but never more disks lost at once than
 // the one that is borne.
-func Draw(seed uint64, size Size) Plan {
+func GeneratePlan(seed uint64, size Size) Plan {
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{Seed: seed, Fronts: size.Fronts, Stores: size.Stores, Servers: size.Servers, Callers: size.Callers, Length: size.Length}
 	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, Wipe, Tear, StoreDown, StoreSilent, StoreLost, StoreForget, ServerHang, ServerCut,
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -15,7 +15,7 @@
 func TestShortRun(t *testing.T) {
 	size := SmallSize
 	size.Length = 5 * time.Second
-	playWhole(t, Draw(7, size), 31)
+	playWhole(t, GeneratePlan(7, size), 31)
 }
 
 // TestPausedProcessIsStopped: seeds 5015 and 5117 asked a paused daemon to stop and never let it go on, so it outlived its
@@ -41,9 +41,9 @@
 }
 
 func TestPlansFollowTheirSeed(t *testing.T) {
-	assert.Equal(t, Draw(5, SmallSize).String(), Draw(5, SmallSize).String())
-	assert.Assert(t, Draw(5, SmallSize).String() != Draw(6, SmallSize).String())
-	plan := Draw(5, SmallSize)
+	assert.Equal(t, GeneratePlan(5, SmallSize).String(), GeneratePlan(5, SmallSize).String())
+	assert.Assert(t, GeneratePlan(5, SmallSize).String() != GeneratePlan(6, SmallSize).String())
+	plan := GeneratePlan(5, SmallSize)
 	again, err := Parse([]byte(plan.String()))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, again, plan)
@@ -59,7 +59,7 @@
 	size.Length = time.Minute
 	for seed := range uint64(300) {
 		var free time.Duration
-		for _, f := range Draw(seed, size).Faults {
+		for _, f := range GeneratePlan(seed, size).Faults {
 			if f.Kind == Wipe || f.Kind == Tear {
 				assert.Assert(t, f.At >= free, "seed %d loses two disks at %v", seed, f.At)
 				free = f.At + f.For + diskRest
