--- a/cmd/rookpass-soak/main.go
+++ b/cmd/rookpass-soak/main.go
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, err
 		}
-		plan, err := soak.Parse(data)
+		plan, err := soak.ParsePlan(data)
 		return []soak.Plan{plan}, err
 	}
 	seed := o.Seed
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -146,8 +146,8 @@
 		For: withdrawal + time.Duration(500+r.IntN(1500))*time.Millisecond}
 }
 
-// Parse reads a plan that String wrote, and names what is wrong with it.
-func Parse(data []byte) (Plan, error) {
+// ParsePlan reads a plan that String wrote, and names what is wrong with it.
+func ParsePlan(data []byte) (Plan, error) {
 	var p Plan
 	if err := json.Unmarshal(data, &p); err != nil {
 		return p, fmt.Errorf("plan: %w", err)
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -21,7 +21,7 @@
 // TestPausedProcessIsStopped: seeds 5015 and 5117 asked a paused daemon to stop and never let it go on, so it outlived its
 // grace without a log line. The fault was the soak's.
 func TestPausedProcessIsStopped(t *testing.T) {
-	plan, err := Parse([]byte(`{"seed":5117,"fronts":2,"stores":3,"servers":4,"callers":4,"length":4000000000,"faults":[
+	plan, err := ParsePlan([]byte(`{"seed":5117,"fronts":2,"stores":3,"servers":4,"callers":4,"length":4000000000,"faults":[
 		{"kind":"pause","at":500000000,"for":2000000000,"target":1},{"kind":"term","at":1200000000,"for":300000000,"target":1}]}`))
 	assert.NilError(t, err)
 	playWhole(t, plan, 32)
@@ -44,11 +44,11 @@
 	assert.Equal(t, GeneratePlan(5, SmallSize).String(), GeneratePlan(5, SmallSize).String())
 	assert.Assert(t, GeneratePlan(5, SmallSize).String() != GeneratePlan(6, SmallSize).String())
 	plan := GeneratePlan(5, SmallSize)
-	again, err := Parse([]byte(plan.String()))
+	again, err := ParsePlan([]byte(plan.String()))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, again, plan)
 	for _, bad := range []string{"{", `{"fronts":1}`, `{"fronts":1,"stores":1,"servers":2,"callers":1,"length":1,"faults":[{"target":9}]}`} {
-		_, err := Parse([]byte(bad))
+		_, err := ParsePlan([]byte(bad))
 		assert.ErrorContains(t, err, "plan")
 	}
 }
