--- a/cmd/rookpass-soak/main.go
+++ b/cmd/rookpass-soak/main.go
@@ -58,12 +58,12 @@
 			return failed, fmt.Errorf("seed %d: %w (logs in %s)", plan.Seed, err, dir)
 		}
 		fmt.Printf("seed %d: %d faults, %.0f s, %v\n", plan.Seed, len(plan.Faults), time.Since(began).Seconds(), result.Counts)
-		if len(result.Broken) == 0 {
+		if len(result.Violations) == 0 {
 			_ = os.RemoveAll(dir) // only its space is lost
 			continue
 		}
 		failed++
-		for _, text := range result.Broken {
+		for _, text := range result.Violations {
 			fmt.Println("  broken:", text)
 		}
 		fmt.Println("  plan:", plan)
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -17,9 +17,9 @@
 
 // Result is what a run found.
 type Result struct {
-	// Broken are the broken promises; none means that the run passed.
-	Broken []string
-	Counts map[string]int
+	// Violations are the broken promises; none means that the run passed.
+	Violations []string
+	Counts     map[string]int
 }
 
 // questionShare: one caller in so many asks for turns that are not kept.
@@ -63,7 +63,7 @@
 	w.heal()
 	w.checkRecovery(all)
 	w.checkLimit()
-	return Result{Broken: w.checker.Broken(), Counts: w.checker.Counts()}, ctx.Err()
+	return Result{Violations: w.checker.Broken(), Counts: w.checker.Counts()}, ctx.Err()
 }
 
 // play strikes with each fault at its time.
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -36,7 +36,7 @@
 	result, err := Run(context.Background(), plan, binary, t.TempDir(), network)
 	assert.NilError(t, err)
 	t.Logf("%d faults: %v", len(plan.Faults), result.Counts)
-	assert.Equal(t, len(result.Broken), 0, "%s\nplan: %s", strings.Join(result.Broken, "\n"), plan)
+	assert.Equal(t, len(result.Violations), 0, "%s\nplan: %s", strings.Join(result.Violations, "\n"), plan)
 	assert.Assert(t, result.Counts["turn whole"] > 0 && result.Counts["call whole"] > 0)
 }
 
