--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -24,8 +24,8 @@
 	Kill Kind = "kill"
 	// Term asks a process to stop in order; it is started again once it has.
 	Term Kind = "term"
-	// Wipe kills a store daemon and empties its disk.
-	Wipe Kind = "wipe"
+	// DiskWipe kills a store daemon and empties its disk.
+	DiskWipe Kind = "wipe"
 	// Tear kills a store daemon and spoils what its disk had not synced.
 	Tear Kind = "tear"
 	// KillAll kills every process.
@@ -95,7 +95,7 @@
 func GeneratePlan(seed uint64, size Size) Plan {
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{Seed: seed, Fronts: size.Fronts, Stores: size.Stores, Servers: size.Servers, Callers: size.Callers, Length: size.Length}
-	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, Wipe, Tear, StoreDown, StoreSilent, StoreLost, StoreForget, ServerHang, ServerCut,
+	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, DiskWipe, Tear, StoreDown, StoreSilent, StoreLost, StoreForget, ServerHang, ServerCut,
 		ServerSurplus, ServerShed, ServerDrain, LinkDelay, LinkReset, LinkOneWay, LinkSilent, Config}
 	if r.IntN(4) == 0 {
 		kinds = append(kinds, KillAll, KillAll)
@@ -104,7 +104,7 @@
 	for at := time.Second; at < size.Length; at += time.Duration(100+r.IntN(900)) * time.Millisecond {
 		f := Fault{Kind: kinds[r.IntN(len(kinds))], At: at, For: time.Duration(200+r.IntN(2500)) * time.Millisecond}
 		switch f.Kind {
-		case Wipe, Tear:
+		case DiskWipe, Tear:
 			if at < diskFree {
 				continue
 			}
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -90,7 +90,7 @@
 // strike does one fault, and undoes it after its time.
 func (w *Cluster) strike(f Fault) {
 	switch f.Kind {
-	case Pause, Kill, Term, Wipe, Tear, KillAll:
+	case Pause, Kill, Term, DiskWipe, Tear, KillAll:
 		w.strikeProcess(f)
 	case StoreDown, StoreSilent, StoreLost, StoreForget:
 		w.strikeStore(f)
@@ -136,7 +136,7 @@
 		w.restart(p, syscall.SIGKILL, f.For, nil)
 	case Term:
 		w.restart(p, syscall.SIGTERM, f.For, nil)
-	case Wipe:
+	case DiskWipe:
 		w.restart(disk, syscall.SIGKILL, f.For, os.RemoveAll)
 	case Tear:
 		w.restart(disk, syscall.SIGKILL, f.For, tear)
