--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -26,8 +26,8 @@
 	Term Kind = "term"
 	// DiskWipe kills a store daemon and empties its disk.
 	DiskWipe Kind = "wipe"
-	// Tear kills a store daemon and spoils what its disk had not synced.
-	Tear Kind = "tear"
+	// TornWrite kills a store daemon and spoils what its disk had not synced.
+	TornWrite Kind = "tear"
 	// KillAll kills every process.
 	KillAll Kind = "kill-all"
 	// StoreDown makes the platform's store refuse, StoreSilent say nothing, StoreLost lose answers.
@@ -95,7 +95,7 @@
 func GeneratePlan(seed uint64, size Size) Plan {
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{Seed: seed, Fronts: size.Fronts, Stores: size.Stores, Servers: size.Servers, Callers: size.Callers, Length: size.Length}
-	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, DiskWipe, Tear, StoreDown, StoreSilent, StoreLost, StoreForget, ServerHang, ServerCut,
+	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, DiskWipe, TornWrite, StoreDown, StoreSilent, StoreLost, StoreForget, ServerHang, ServerCut,
 		ServerSurplus, ServerShed, ServerDrain, LinkDelay, LinkReset, LinkOneWay, LinkSilent, Config}
 	if r.IntN(4) == 0 {
 		kinds = append(kinds, KillAll, KillAll)
@@ -104,7 +104,7 @@
 	for at := time.Second; at < size.Length; at += time.Duration(100+r.IntN(900)) * time.Millisecond {
 		f := Fault{Kind: kinds[r.IntN(len(kinds))], At: at, For: time.Duration(200+r.IntN(2500)) * time.Millisecond}
 		switch f.Kind {
-		case DiskWipe, Tear:
+		case DiskWipe, TornWrite:
 			if at < diskFree {
 				continue
 			}
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -90,7 +90,7 @@
 // strike does one fault, and undoes it after its time.
 func (w *Cluster) strike(f Fault) {
 	switch f.Kind {
-	case Pause, Kill, Term, DiskWipe, Tear, KillAll:
+	case Pause, Kill, Term, DiskWipe, TornWrite, KillAll:
 		w.strikeProcess(f)
 	case StoreDown, StoreSilent, StoreLost, StoreForget:
 		w.strikeStore(f)
@@ -138,7 +138,7 @@
 		w.restart(p, syscall.SIGTERM, f.For, nil)
 	case DiskWipe:
 		w.restart(disk, syscall.SIGKILL, f.For, os.RemoveAll)
-	case Tear:
+	case TornWrite:
 		w.restart(disk, syscall.SIGKILL, f.For, tear)
 	case KillAll:
 		var all sync.WaitGroup
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -60,7 +60,7 @@
 	for seed := range uint64(300) {
 		var free time.Duration
 		for _, f := range GeneratePlan(seed, size).Faults {
-			if f.Kind == DiskWipe || f.Kind == Tear {
+			if f.Kind == DiskWipe || f.Kind == TornWrite {
 				assert.Assert(t, f.At >= free, "seed %d loses two disks at %v", seed, f.At)
 				free = f.At + f.For + diskRest
 			}
