--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -92,7 +92,7 @@
 	switch f.Kind {
 	case Pause, Kill, Term, DiskWipe, TornWrite, KillAll:
 		w.strikeProcess(f)
-	case StoreDown, StoreSilent, StoreLost, StoreForget:
+	case StoreDown, StoreHang, StoreLost, StoreForget:
 		w.strikeStore(f)
 	case LinkDelay, LinkReset, LinkOneWay, LinkSilent:
 		w.strikeLinks(f)
@@ -170,7 +170,7 @@
 		return
 	case StoreDown:
 		w.store.SetFault(func(r http.ResponseWriter) { r.WriteHeader(http.StatusServiceUnavailable) }, false)
-	case StoreSilent:
+	case StoreHang:
 		w.store.SetFault(func(http.ResponseWriter) { time.Sleep(f.For) }, false)
 	case StoreLost:
 		w.store.SetFault(func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, true)
