--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -34,8 +34,8 @@
 	StoreDown Kind = "store-down"
 	StoreHang Kind = "store-silent"
 	StoreLost Kind = "store-lost"
-	// StoreForget drops the store's history.
-	StoreForget Kind = "store-forget"
+	// StoreCompact drops the store's history.
+	StoreCompact Kind = "store-forget"
 	// ServerHang, ServerCut, ServerSurplus and ServerShed spoil the answers of one backend server.
 	ServerHang    Kind = "server-hang"
 	ServerCut     Kind = "server-cut"
@@ -95,7 +95,7 @@
 func GeneratePlan(seed uint64, size Size) Plan {
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{Seed: seed, Fronts: size.Fronts, Stores: size.Stores, Servers: size.Servers, Callers: size.Callers, Length: size.Length}
-	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, DiskWipe, TornWrite, StoreDown, StoreHang, StoreLost, StoreForget, ServerHang, ServerCut,
+	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, DiskWipe, TornWrite, StoreDown, StoreHang, StoreLost, StoreCompact, ServerHang, ServerCut,
 		ServerSurplus, ServerShed, ServerDrain, LinkDelay, LinkReset, LinkOneWay, LinkSilent, Config}
 	if r.IntN(4) == 0 {
 		kinds = append(kinds, KillAll, KillAll)
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -92,7 +92,7 @@
 	switch f.Kind {
 	case Pause, Kill, Term, DiskWipe, TornWrite, KillAll:
 		w.strikeProcess(f)
-	case StoreDown, StoreHang, StoreLost, StoreForget:
+	case StoreDown, StoreHang, StoreLost, StoreCompact:
 		w.strikeStore(f)
 	case LinkDelay, LinkReset, LinkOneWay, LinkSilent:
 		w.strikeLinks(f)
@@ -165,7 +165,7 @@
 
 func (w *Cluster) strikeStore(f Fault) {
 	switch f.Kind {
-	case StoreForget:
+	case StoreCompact:
 		w.store.Compact()
 		return
 	case StoreDown:
