--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -37,10 +37,10 @@
 	// StoreCompact drops the store's history.
 	StoreCompact Kind = "store-forget"
 	// ServerHang, ServerCut, ServerSurplus and ServerShed spoil the answers of one backend server.
-	ServerHang     Kind = "server-hang"
-	ServerTruncate Kind = "server-cut"
-	ServerSurplus  Kind = "server-surplus"
-	ServerShed     Kind = "server-shed"
+	ServerHang      Kind = "server-hang"
+	ServerTruncate  Kind = "server-cut"
+	ServerDuplicate Kind = "server-surplus"
+	ServerShed      Kind = "server-shed"
 	// ServerDrain takes one backend server away, and brings another at the same address.
 	ServerDrain Kind = "server-drain"
 	// ServerRestart crashes one backend server silently, and starts it again under its name. EntrySpoil writes over its entry
@@ -96,7 +96,7 @@
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{Seed: seed, Fronts: size.Fronts, Stores: size.Stores, Servers: size.Servers, Callers: size.Callers, Length: size.Length}
 	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, DiskWipe, TornWrite, StoreDown, StoreHang, StoreLost, StoreCompact, ServerHang, ServerTruncate,
-		ServerSurplus, ServerShed, ServerDrain, LinkDelay, LinkReset, LinkOneWay, LinkSilent, Config}
+		ServerDuplicate, ServerShed, ServerDrain, LinkDelay, LinkReset, LinkOneWay, LinkSilent, Config}
 	if r.IntN(4) == 0 {
 		kinds = append(kinds, KillAll, KillAll)
 	}
@@ -112,7 +112,7 @@
 			f.Target = r.IntN(size.Stores)
 		case Pause, Kill, Term, LinkDelay, LinkReset, LinkOneWay, LinkSilent:
 			f.Target = r.IntN(size.Fronts + size.Stores)
-		case ServerHang, ServerTruncate, ServerSurplus, ServerShed, ServerDrain:
+		case ServerHang, ServerTruncate, ServerDuplicate, ServerShed, ServerDrain:
 			f.Target = r.IntN(size.Servers)
 		case KillAll:
 			diskFree = max(diskFree, at+f.For+diskRest)
