--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -46,7 +46,7 @@
 	// ServerRestart crashes one backend server silently, and starts it again under its name. EntrySpoil writes over its entry
 	// what no server writes.
 	ServerRestart Kind = "server-restart"
-	EntrySpoil    Kind = "entry-spoil"
+	EntryCorrupt  Kind = "entry-spoil"
 	// LinkDelay, LinkReset, LinkOneWay and LinkSilent harm the connections from one process to the servers and the
 	// store.
 	LinkDelay  Kind = "link-delay"
@@ -133,7 +133,7 @@
 	r := rand.New(rand.NewPCG(seed, 2))
 	var faults []Fault
 	for at := time.Second; at < size.Length; at += time.Duration(500+r.IntN(3000)) * time.Millisecond {
-		kind := []Kind{ServerRestart, EntrySpoil}[r.IntN(2)]
+		kind := []Kind{ServerRestart, EntryCorrupt}[r.IntN(2)]
 		faults = append(faults, Fault{Kind: kind, At: at, For: time.Duration(200+r.IntN(2500)) * time.Millisecond, Target: r.IntN(size.Servers)})
 	}
 	return faults
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -103,7 +103,7 @@
 		s.Restart()
 		time.Sleep(f.For)
 		w.store.SetServer(s.Entry())
-	case EntrySpoil:
+	case EntryCorrupt:
 		w.spoilEntry(f)
 	case Config:
 		w.configure()
