--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -55,8 +55,8 @@
 	LinkSilent Kind = "link-silent"
 	// Config brings a new version with one more route.
 	Config Kind = "config"
-	// KeyWithdraw takes an organisation away with its keys, and brings it back.
-	KeyWithdraw Kind = "key-withdraw"
+	// KeyRevoke takes an organisation away with its keys, and brings it back.
+	KeyRevoke Kind = "key-withdraw"
 )
 
 // Fault is one entry of a plan.
@@ -142,7 +142,7 @@
 // drawKeys draws when an organisation is taken away: for longer than the time within which everybody must know.
 func drawKeys(seed uint64) Fault {
 	r := rand.New(rand.NewPCG(seed, 3))
-	return Fault{Kind: KeyWithdraw, At: time.Duration(500+r.IntN(2000)) * time.Millisecond,
+	return Fault{Kind: KeyRevoke, At: time.Duration(500+r.IntN(2000)) * time.Millisecond,
 		For: withdrawal + time.Duration(500+r.IntN(1500))*time.Millisecond}
 }
 
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -107,7 +107,7 @@
 		w.spoilEntry(f)
 	case Config:
 		w.configure()
-	case KeyWithdraw:
+	case KeyRevoke:
 		w.setBounded(false)
 		time.Sleep(f.For)
 		w.setBounded(true)
