--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -49,10 +49,10 @@
 	EntryCorrupt  Kind = "entry-spoil"
 	// LinkDelay, LinkReset, LinkOneWay and LinkSilent harm the connections from one process to the servers and the
 	// store.
-	LinkDelay  Kind = "link-delay"
-	LinkReset  Kind = "link-reset"
-	LinkOneWay Kind = "link-one-way"
-	LinkSilent Kind = "link-silent"
+	LinkDelay     Kind = "link-delay"
+	LinkReset     Kind = "link-reset"
+	LinkOneWay    Kind = "link-one-way"
+	LinkBlackhole Kind = "link-silent"
 	// Config brings a new version with one more route.
 	Config Kind = "config"
 	// KeyRevoke takes an organisation away with its keys, and brings it back.
@@ -96,7 +96,7 @@
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{Seed: seed, Fronts: size.Fronts, Stores: size.Stores, Servers: size.Servers, Callers: size.Callers, Length: size.Length}
 	kinds := []Kind{Pause, Pause, Kill, Kill, Term, Term, DiskWipe, TornWrite, StoreDown, StoreHang, StoreLost, StoreCompact, ServerHang, ServerTruncate,
-		ServerDuplicate, ServerShed, ServerDrain, LinkDelay, LinkReset, LinkOneWay, LinkSilent, Config}
+		ServerDuplicate, ServerShed, ServerDrain, LinkDelay, LinkReset, LinkOneWay, LinkBlackhole, Config}
 	if r.IntN(4) == 0 {
 		kinds = append(kinds, KillAll, KillAll)
 	}
@@ -110,7 +110,7 @@
 			}
 			diskFree = at + f.For + diskRest
 			f.Target = r.IntN(size.Stores)
-		case Pause, Kill, Term, LinkDelay, LinkReset, LinkOneWay, LinkSilent:
+		case Pause, Kill, Term, LinkDelay, LinkReset, LinkOneWay, LinkBlackhole:
 			f.Target = r.IntN(size.Fronts + size.Stores)
 		case ServerHang, ServerTruncate, ServerDuplicate, ServerShed, ServerDrain:
 			f.Target = r.IntN(size.Servers)
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -94,7 +94,7 @@
 		w.strikeProcess(f)
 	case StoreDown, StoreHang, StoreLost, StoreCompact:
 		w.strikeStore(f)
-	case LinkDelay, LinkReset, LinkOneWay, LinkSilent:
+	case LinkDelay, LinkReset, LinkOneWay, LinkBlackhole:
 		w.strikeLinks(f)
 	case ServerDrain:
 		w.replaceServer(f)
@@ -181,7 +181,7 @@
 
 // strikeLinks harms a daemon's link to the store, that from its callers, and that of one server.
 func (w *Cluster) strikeLinks(f Fault) {
-	m := map[Kind]mode{LinkDelay: delay, LinkReset: reset, LinkOneWay: oneWay, LinkSilent: silent}[f.Kind]
+	m := map[Kind]mode{LinkDelay: delay, LinkReset: reset, LinkOneWay: oneWay, LinkBlackhole: silent}[f.Kind]
 	p := w.processes[f.Target%len(w.processes)]
 	links := []*proxy{p.store, w.servers[f.Target%len(w.servers)].link}
 	if p.callers != nil {
