--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -54,7 +54,7 @@
 	time.Sleep(2 * time.Second)
 	close(stop)
 	<-done
-	assert.Equal(t, len(w.checker.Broken()), 0, "%s\n%v", strings.Join(w.checker.Broken(), "\n"), w.checker.Counts())
+	assert.Equal(t, len(w.checker.Violations()), 0, "%s\n%v", strings.Join(w.checker.Violations(), "\n"), w.checker.Counts())
 	assert.Assert(t, w.checker.Arrivals(spoilt.ID.Server) > before, "the server's own entry is not in force")
 	assert.Assert(t, w.checker.Counts()["call whole"] > 0, "%v", w.checker.Counts())
 }
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -57,7 +57,7 @@
 	time.Sleep(3 * time.Second)
 	close(stop)
 	<-done
-	assert.Equal(t, len(w.checker.Broken()), 0, strings.Join(w.checker.Broken(), "\n"))
+	assert.Equal(t, len(w.checker.Violations()), 0, strings.Join(w.checker.Violations(), "\n"))
 	used := 0
 	for _, id := range inside {
 		used += w.checker.Arrivals(id) - before[id]
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -287,7 +287,7 @@
 	time.Sleep(time.Until(began.Add(workTime)))
 	close(stop)
 	wg.Wait()
-	broken := w.checker.Broken()
+	broken := w.checker.Violations()
 	assert.Equal(t, len(broken), 0, "%s\n%v", strings.Join(broken, "\n"), w.checker.Counts())
 	if r.least != "" {
 		assert.Assert(t, w.checker.Counts()[r.least] > 0, "nothing ended as %q: %v", r.least, w.checker.Counts())
--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -123,7 +123,7 @@
 				}
 				close(stop)
 				work.Wait()
-				broken := w.checker.Broken()
+				broken := w.checker.Violations()
 				assert.Equal(t, len(broken), 0, strings.Join(broken, "\n"))
 			})
 		})
@@ -220,7 +220,7 @@
 				n := w.checker.Most("north", 5*time.Second)
 				assert.Assert(t, float64(n) <= most, "%d requests in a window, of %.0f", n, most)
 				assert.Assert(t, ran >= int(passed.Seconds()*perSecond/2), "only %d requests in %v", ran, passed)
-				broken := w.checker.Broken()
+				broken := w.checker.Violations()
 				assert.Equal(t, len(broken), 0, strings.Join(broken, "\n"))
 			})
 		})
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -77,7 +77,7 @@
 		play(w)
 		close(stop)
 		work.Wait()
-		broken := w.checker.Broken()
+		broken := w.checker.Violations()
 		assert.Equal(t, len(broken), 0, strings.Join(broken, "\n"))
 	})
 }
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -63,7 +63,7 @@
 	w.heal()
 	w.checkRecovery(all)
 	w.checkLimit()
-	return Result{Violations: w.checker.Broken(), Counts: w.checker.Counts()}, ctx.Err()
+	return Result{Violations: w.checker.Violations(), Counts: w.checker.Counts()}, ctx.Err()
 }
 
 // play strikes with each fault at its time.
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -226,8 +226,8 @@
 	return maps.Clone(c.counts)
 }
 
-// Broken returns the broken promises.
-func (c *Checker) Broken() []string {
+// Violations returns the broken promises.
+func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.broken...)
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -40,7 +40,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			checker := NewChecker()
 			c.course(checker)
-			broken := strings.Join(checker.Broken(), "; ")
+			broken := strings.Join(checker.Violations(), "; ")
 			assert.Equal(t, broken == "", c.want == "", "%s: %s", name, broken)
 			assert.Assert(t, strings.Contains(broken, c.want), "%s: %s", name, broken)
 		})
