--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -167,7 +167,7 @@
 // too where the front does not answer. life names the front's present life.
 func (c *Caller) Knows(front, life string, version int64) bool {
 	id := fmt.Sprintf("v%d", ids.Add(1))
-	c.checker.Sent(id, "", true)
+	c.checker.RecordSent(id, "", true)
 	status, _, _, err := c.sendTo(front, fmt.Sprintf("/new%d/", version), platformtest.Call{ID: id, Deadline: callDeadline}, "")
 	if err != nil || status != http.StatusOK && status != http.StatusNotFound {
 		return false
@@ -179,7 +179,7 @@
 // Ask sends one lookup to a front and returns how it was answered; 0 where it broke off.
 func (c *Caller) Ask(front string) int {
 	id := fmt.Sprintf("a%d", ids.Add(1))
-	c.checker.Sent(id, "", true)
+	c.checker.RecordSent(id, "", true)
 	status, _, _, err := c.sendTo(front, "/lookup/", platformtest.Call{ID: id, Deadline: callDeadline}, "")
 	if err != nil {
 		return 0
@@ -214,7 +214,7 @@
 	budget := budgetOf(l.scarce)
 	id := fmt.Sprintf("t%d", ids.Add(1))
 	input := fmt.Sprintf("[%s turn %d]", l.program, l.turns)
-	c.checker.Sent(id, l.history+input, false)
+	c.checker.RecordSent(id, l.history+input, false)
 	call := platformtest.Call{ID: id, Program: l.program, Previous: l.previous, Deadline: callDeadline, Budget: budget, MaxOutputTokens: mostTokens}
 	status, header, body, err := c.send("/turn/", call, input)
 	c.checker.Handed(l.program, tokensPerEvent*int64(strings.Count(string(body), "data: ")), budget+mostTokens)
@@ -247,7 +247,7 @@
 // tool sends one call of a tool, and reports whether it was whole.
 func (c *Caller) tool(path string, repeatable bool) bool {
 	id := fmt.Sprintf("c%d", ids.Add(1))
-	c.checker.Sent(id, "args of "+id, repeatable)
+	c.checker.RecordSent(id, "args of "+id, repeatable)
 	status, header, body, err := c.send(path, platformtest.Call{ID: id, Deadline: callDeadline}, "args of "+id)
 	if status != http.StatusOK || err != nil {
 		c.failed(id, status, err)
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -48,8 +48,8 @@
 	c.broken = append(c.broken, fmt.Sprintf(format, args...))
 }
 
-// Sent notes a request: what a server must get, and whether it may run twice.
-func (c *Checker) Sent(id, body string, repeatable bool) {
+// RecordSent notes a request: what a server must get, and whether it may run twice.
+func (c *Checker) RecordSent(id, body string, repeatable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expected[id] = body
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -16,19 +16,19 @@
 		want   string
 	}{
 		"nothing wrong": {func(c *Checker) {
-			c.Sent("a", "x", false)
+			c.RecordSent("a", "x", false)
 			c.Ran("a", "x")
-			c.Sent("b", "x", true)
+			c.RecordSent("b", "x", true)
 			c.Ran("b", "x")
 			c.Ran("b", "x")
-			c.Sent("d", "x", false)
+			c.RecordSent("d", "x", false)
 			c.Refused("d", 503)
 			c.Handed("p", 10, 10)
 		}, ""},
-		"ran twice":                {func(c *Checker) { c.Sent("a", "x", false); c.Ran("a", "x"); c.Ran("a", "x") }, "must run once"},
-		"refused then ran":         {func(c *Checker) { c.Sent("a", "x", false); c.Refused("a", 503); c.Ran("a", "x") }, "ran later"},
-		"ran then refused":         {func(c *Checker) { c.Sent("a", "x", false); c.Ran("a", "x"); c.Refused("a", 402) }, "was answered 402"},
-		"changed":                  {func(c *Checker) { c.Sent("a", "x", false); c.Ran("a", "y") }, "with 1 bytes"},
+		"ran twice":                {func(c *Checker) { c.RecordSent("a", "x", false); c.Ran("a", "x"); c.Ran("a", "x") }, "must run once"},
+		"refused then ran":         {func(c *Checker) { c.RecordSent("a", "x", false); c.Refused("a", 503); c.Ran("a", "x") }, "ran later"},
+		"ran then refused":         {func(c *Checker) { c.RecordSent("a", "x", false); c.Ran("a", "x"); c.Refused("a", 402) }, "was answered 402"},
+		"changed":                  {func(c *Checker) { c.RecordSent("a", "x", false); c.Ran("a", "y") }, "with 1 bytes"},
 		"nobody sent":              {func(c *Checker) { c.Ran("a", "x") }, "nobody sent"},
 		"beyond budget":            {func(c *Checker) { c.Handed("p", 6, 10); c.Handed("p", 6, 10) }, "12 tokens of 10"},
 		"late at a leaving server": {func(c *Checker) { c.Leaving("s"); time.Sleep(3 * time.Second); c.Arrived("s", "a") }, "after it had said"},
--- a/internal/testing/workload/question.go
+++ b/internal/testing/workload/question.go
@@ -49,7 +49,7 @@
 // ask sends a question once, and returns how it was answered; 0 where it broke off.
 func (c *Caller) ask(q *question) int {
 	id := fmt.Sprintf("t%d", ids.Add(1))
-	c.checker.Sent(id, q.text, true)
+	c.checker.RecordSent(id, q.text, true)
 	call := platformtest.Call{ID: id, Program: q.program, Deadline: callDeadline, Budget: q.budget, MaxOutputTokens: mostTokens, LastEvent: q.got}
 	status, header, body, err := c.send(questionPath, call, q.text)
 	if status != http.StatusOK {
