--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -288,7 +288,7 @@
 	}
 	r.Host = host
 	call.Key = keyOf(c.organisation)
-	c.checker.SentBy(call.ID, c.organisation)
+	c.checker.RecordSender(call.ID, c.organisation)
 	r.Header = call.Header()
 	r.GetBody = nil // or the client sends a request again by itself
 	resp, err := c.client.Do(r)
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -56,8 +56,8 @@
 	c.repeat[id] = repeatable
 }
 
-// SentBy notes whose a request is.
-func (c *Checker) SentBy(id, organisation string) {
+// RecordSender notes whose a request is.
+func (c *Checker) RecordSender(id, organisation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.senders[id] = organisation
