--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -94,7 +94,7 @@
 		}
 	}
 	w.configure()
-	w.checker.Withdrawn(name, time.Now().Add(withdrawalBound))
+	w.checker.RecordRevocation(name, time.Now().Add(withdrawalBound))
 }
 
 // TestWithdrawnKeyIsRefusedInTime: everywhere, whoever is dark, frozen or started again meanwhile. The other organisation
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -239,7 +239,7 @@
 	if !there {
 		from = time.Now().Add(withdrawal)
 	}
-	w.checker.Withdrawn(boundedName, from)
+	w.checker.RecordRevocation(boundedName, from)
 }
 
 // checkLimit asks that no window held more of the bounded organisation's requests than is borne.
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -64,8 +64,8 @@
 	c.sentAt[id] = time.Now()
 }
 
-// Withdrawn notes that an organisation's requests may not run that are sent later than a time.
-func (c *Checker) Withdrawn(organisation string, from time.Time) {
+// RecordRevocation notes that an organisation's requests may not run that are sent later than a time.
+func (c *Checker) RecordRevocation(organisation string, from time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.withdrawn[organisation] = from
