--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -99,8 +99,8 @@
 	return len(c.served[organisation])
 }
 
-// Told notes what a server was told of a request's organisation, and whether its caller's key came along.
-func (c *Checker) Told(id, organisation string, key bool) {
+// RecordIdentity notes what a server was told of a request's organisation, and whether its caller's key came along.
+func (c *Checker) RecordIdentity(id, organisation string, key bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	want := c.senders[id]
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -156,7 +156,7 @@
 		return
 	}
 	s.checker.Arrived(entry.ID.Server, id)
-	s.checker.Told(id, platformtest.ForwardedOrganisation(r.Header), holdsKey(r.Header))
+	s.checker.RecordIdentity(id, platformtest.ForwardedOrganisation(r.Header), holdsKey(r.Header))
 	s.checker.Ran(id, string(body))
 	if fault == Hang {
 		<-r.Context().Done()
