--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Ran notes that a server began on a request.
-func (c *Checker) Ran(id, body string) {
+// RecordRun notes that a server began on a request.
+func (c *Checker) RecordRun(id, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	want, known := c.expected[id]
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -17,19 +17,19 @@
 	}{
 		"nothing wrong": {func(c *Checker) {
 			c.RecordSent("a", "x", false)
-			c.Ran("a", "x")
+			c.RecordRun("a", "x")
 			c.RecordSent("b", "x", true)
-			c.Ran("b", "x")
-			c.Ran("b", "x")
+			c.RecordRun("b", "x")
+			c.RecordRun("b", "x")
 			c.RecordSent("d", "x", false)
 			c.Refused("d", 503)
 			c.Handed("p", 10, 10)
 		}, ""},
-		"ran twice":                {func(c *Checker) { c.RecordSent("a", "x", false); c.Ran("a", "x"); c.Ran("a", "x") }, "must run once"},
-		"refused then ran":         {func(c *Checker) { c.RecordSent("a", "x", false); c.Refused("a", 503); c.Ran("a", "x") }, "ran later"},
-		"ran then refused":         {func(c *Checker) { c.RecordSent("a", "x", false); c.Ran("a", "x"); c.Refused("a", 402) }, "was answered 402"},
-		"changed":                  {func(c *Checker) { c.RecordSent("a", "x", false); c.Ran("a", "y") }, "with 1 bytes"},
-		"nobody sent":              {func(c *Checker) { c.Ran("a", "x") }, "nobody sent"},
+		"ran twice":                {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRun("a", "x") }, "must run once"},
+		"refused then ran":         {func(c *Checker) { c.RecordSent("a", "x", false); c.Refused("a", 503); c.RecordRun("a", "x") }, "ran later"},
+		"ran then refused":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.Refused("a", 402) }, "was answered 402"},
+		"changed":                  {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "y") }, "with 1 bytes"},
+		"nobody sent":              {func(c *Checker) { c.RecordRun("a", "x") }, "nobody sent"},
 		"beyond budget":            {func(c *Checker) { c.Handed("p", 6, 10); c.Handed("p", 6, 10) }, "12 tokens of 10"},
 		"late at a leaving server": {func(c *Checker) { c.Leaving("s"); time.Sleep(3 * time.Second); c.Arrived("s", "a") }, "after it had said"},
 		"soon at a leaving server": {func(c *Checker) { c.Leaving("s"); time.Sleep(time.Second); c.Arrived("s", "a") }, ""},
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -157,7 +157,7 @@
 	}
 	s.checker.Arrived(entry.ID.Server, id)
 	s.checker.RecordIdentity(id, platformtest.ForwardedOrganisation(r.Header), holdsKey(r.Header))
-	s.checker.Ran(id, string(body))
+	s.checker.RecordRun(id, string(body))
 	if fault == Hang {
 		<-r.Context().Done()
 		return
