--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -267,7 +267,7 @@
 	}
 	c.checker.Ended(fmt.Sprint("status ", status))
 	if slices.Contains(notRun, status) {
-		c.checker.Refused(id, status)
+		c.checker.RecordRefusal(id, status)
 	}
 	return status
 }
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// Refused notes an answer that says that the request has not run and never will.
-func (c *Checker) Refused(id string, status int) {
+// RecordRefusal notes an answer that says that the request has not run and never will.
+func (c *Checker) RecordRefusal(id string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refused[id] = status
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -22,12 +22,12 @@
 			c.RecordRun("b", "x")
 			c.RecordRun("b", "x")
 			c.RecordSent("d", "x", false)
-			c.Refused("d", 503)
+			c.RecordRefusal("d", 503)
 			c.Handed("p", 10, 10)
 		}, ""},
 		"ran twice":                {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRun("a", "x") }, "must run once"},
-		"refused then ran":         {func(c *Checker) { c.RecordSent("a", "x", false); c.Refused("a", 503); c.RecordRun("a", "x") }, "ran later"},
-		"ran then refused":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.Refused("a", 402) }, "was answered 402"},
+		"refused then ran":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRefusal("a", 503); c.RecordRun("a", "x") }, "ran later"},
+		"ran then refused":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRefusal("a", 402) }, "was answered 402"},
 		"changed":                  {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "y") }, "with 1 bytes"},
 		"nobody sent":              {func(c *Checker) { c.RecordRun("a", "x") }, "nobody sent"},
 		"beyond budget":            {func(c *Checker) { c.Handed("p", 6, 10); c.Handed("p", 6, 10) }, "12 tokens of 10"},
