--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -217,7 +217,7 @@
 	c.checker.RecordSent(id, l.history+input, false)
 	call := platformtest.Call{ID: id, Program: l.program, Previous: l.previous, Deadline: callDeadline, Budget: budget, MaxOutputTokens: mostTokens}
 	status, header, body, err := c.send("/turn/", call, input)
-	c.checker.Handed(l.program, tokensPerEvent*int64(strings.Count(string(body), "data: ")), budget+mostTokens)
+	c.checker.RecordTokens(l.program, tokensPerEvent*int64(strings.Count(string(body), "data: ")), budget+mostTokens)
 	if status == http.StatusNotFound {
 		c.checker.Fail("turn %s was answered 404 though %q is kept", id, l.previous)
 	}
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// Handed notes tokens that a caller got of a program whose budget, with one turn's most above it, is limit.
-func (c *Checker) Handed(program string, tokens, limit int64) {
+// RecordTokens notes tokens that a caller got of a program whose budget, with one turn's most above it, is limit.
+func (c *Checker) RecordTokens(program string, tokens, limit int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handed[program] += tokens
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -23,14 +23,14 @@
 			c.RecordRun("b", "x")
 			c.RecordSent("d", "x", false)
 			c.RecordRefusal("d", 503)
-			c.Handed("p", 10, 10)
+			c.RecordTokens("p", 10, 10)
 		}, ""},
 		"ran twice":                {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRun("a", "x") }, "must run once"},
 		"refused then ran":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRefusal("a", 503); c.RecordRun("a", "x") }, "ran later"},
 		"ran then refused":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRefusal("a", 402) }, "was answered 402"},
 		"changed":                  {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "y") }, "with 1 bytes"},
 		"nobody sent":              {func(c *Checker) { c.RecordRun("a", "x") }, "nobody sent"},
-		"beyond budget":            {func(c *Checker) { c.Handed("p", 6, 10); c.Handed("p", 6, 10) }, "12 tokens of 10"},
+		"beyond budget":            {func(c *Checker) { c.RecordTokens("p", 6, 10); c.RecordTokens("p", 6, 10) }, "12 tokens of 10"},
 		"late at a leaving server": {func(c *Checker) { c.Leaving("s"); time.Sleep(3 * time.Second); c.Arrived("s", "a") }, "after it had said"},
 		"soon at a leaving server": {func(c *Checker) { c.Leaving("s"); time.Sleep(time.Second); c.Arrived("s", "a") }, ""},
 		"went back":                {func(c *Checker) { c.Served("f", 4, true); c.Served("f", 3, false) }, "went back"},
--- a/internal/testing/workload/question.go
+++ b/internal/testing/workload/question.go
@@ -56,7 +56,7 @@
 		return c.failed(id, status, err)
 	}
 	events := strings.Count(string(body), "\n\n")
-	c.checker.Handed(q.program, int64(tokensPerEvent*events), q.budget+mostTokens)
+	c.checker.RecordTokens(q.program, int64(tokensPerEvent*events), q.budget+mostTokens)
 	want := eventText(q.text, q.got+1, q.got+events)
 	if !strings.HasPrefix(string(body), want) || q.got+events > eventsPerTurn || !platformtest.Signed(header, id) {
 		c.checker.Fail("question %s, asked behind event %d, was answered with %.120q", id, q.got, body)
