--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -46,7 +46,7 @@
 		time.Sleep(faultTime)
 		w.platform.SetFault(nil, false)
 	}
-	w.checker.Leaving(spoilt.ID.Server)
+	w.checker.RecordDraining(spoilt.ID.Server)
 	time.Sleep(4 * time.Second)
 	w.checker.Returned(spoilt.ID.Server)
 	before := w.checker.Arrivals(spoilt.ID.Server)
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -44,7 +44,7 @@
 	inside := w.serversIn(evacuated)
 	assert.Assert(t, len(inside) > 0)
 	for _, id := range inside {
-		w.checker.Leaving(id)
+		w.checker.RecordDraining(id)
 	}
 	meanwhile(w)
 	time.Sleep(3 * time.Second)
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -134,7 +134,7 @@
 	for i, s := range w.servers[:2] {
 		entry := s.Entry()
 		w.platform.Set("servers", entry.ID.Server, platformtest.InvalidEntries(entry)[i])
-		w.checker.Leaving(entry.ID.Server)
+		w.checker.RecordDraining(entry.ID.Server)
 		spoilt = append(spoilt, entry.ID.Server)
 	}
 	time.Sleep(faultTime + time.Second) // a second longer than requests may still reach them
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -159,7 +159,7 @@
 	returned := time.Now()
 	gone := len(w.servers) - 1
 	time.Sleep(goneAfter - newsBound)
-	w.checker.Leaving(w.servers[gone].Entry().ID.Server) // it is watched from newsBound later on
+	w.checker.RecordDraining(w.servers[gone].Entry().ID.Server) // it is watched from newsBound later on
 	time.Sleep(time.Until(returned.Add(renewal)))
 	for _, s := range w.servers[:gone] {
 		w.platform.SetServer(s.Entry())
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -161,8 +161,8 @@
 // drainTime is how long after a server's word that it leaves it may still get requests.
 const drainTime = 2 * time.Second
 
-// Leaving notes that a server has said that it leaves, or that its entry is no server's any more.
-func (c *Checker) Leaving(server string) {
+// RecordDraining notes that a server has said that it leaves, or that its entry is no server's any more.
+func (c *Checker) RecordDraining(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leaving[server] = time.Now()
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -122,7 +122,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entry.Draining = true
-	s.checker.Leaving(s.entry.ID.Server)
+	s.checker.RecordDraining(s.entry.ID.Server)
 	return s.entry
 }
 
