--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -48,7 +48,7 @@
 	}
 	w.checker.RecordDraining(spoilt.ID.Server)
 	time.Sleep(4 * time.Second)
-	w.checker.Returned(spoilt.ID.Server)
+	w.checker.RecordReturned(spoilt.ID.Server)
 	before := w.checker.Arrivals(spoilt.ID.Server)
 	w.platform.SetServer(spoilt)
 	time.Sleep(2 * time.Second)
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -50,7 +50,7 @@
 	time.Sleep(3 * time.Second)
 	before := map[string]int{}
 	for _, id := range inside {
-		w.checker.Returned(id)
+		w.checker.RecordReturned(id)
 		before[id] = w.checker.Arrivals(id)
 	}
 	w.platform.Delete("evacuations", evacuated)
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -141,7 +141,7 @@
 	for i, s := range w.servers[:2] {
 		entry := s.Entry()
 		if entry.ID.Server == spoilt[i] && !entry.Draining {
-			w.checker.Returned(spoilt[i])
+			w.checker.RecordReturned(spoilt[i])
 		}
 		w.platform.SetServer(entry)
 	}
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -168,8 +168,8 @@
 	c.leaving[server] = time.Now()
 }
 
-// Returned notes that a server may get requests again.
-func (c *Checker) Returned(server string) {
+// RecordReturned notes that a server may get requests again.
+func (c *Checker) RecordReturned(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.leaving, server)
