--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -58,7 +58,7 @@
 	}
 	frozen := func(m func(*world) *member) func(*world) {
 		return func(w *world) {
-			w.checker.Excuse(time.Now().Add(faultTime + time.Second))
+			w.checker.AllowLateArrivals(time.Now().Add(faultTime + time.Second))
 			w.fabric.Freeze(m(w).host)
 			time.Sleep(faultTime)
 			w.fabric.Thaw(m(w).host)
@@ -238,7 +238,7 @@
 // replaceServers lets one server after the other leave and come back as another, while callers ask for calls.
 func (w *world) replaceServers(b blow, stop <-chan struct{}) {
 	if b.news {
-		w.checker.Excuse(time.Now().Add(time.Hour))
+		w.checker.AllowLateArrivals(time.Now().Add(time.Hour))
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { w.ask(workload.Lookups, stop) })
--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -62,7 +62,7 @@
 }
 
 func (w *world) freeze(m *member, d time.Duration) {
-	w.checker.Excuse(time.Now().Add(d + time.Second))
+	w.checker.AllowLateArrivals(time.Now().Add(d + time.Second))
 	w.fabric.Freeze(m.host)
 	time.Sleep(d)
 	w.fabric.Thaw(m.host)
--- a/internal/testing/soak/world.go
+++ b/internal/testing/soak/world.go
@@ -83,7 +83,7 @@
 func NewCluster(plan Plan, binary, dir string, network int) (*Cluster, error) {
 	w := &Cluster{plan: plan, binary: binary, dir: dir, checker: workload.NewChecker(), store: platformtest.NewStore()}
 	// Faults overlap here: a paused daemon, or one that the store turns away, can't know who leaves.
-	w.checker.Excuse(time.Now().Add(24 * time.Hour))
+	w.checker.AllowLateArrivals(time.Now().Add(24 * time.Hour))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -175,8 +175,8 @@
 	delete(c.leaving, server)
 }
 
-// Excuse lets requests reach leaving servers until a time: a paused daemon's last ones arrive when it wakes.
-func (c *Checker) Excuse(until time.Time) {
+// AllowLateArrivals lets requests reach leaving servers until a time: a paused daemon's last ones arrive when it wakes.
+func (c *Checker) AllowLateArrivals(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.excused = until
