--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -182,8 +182,8 @@
 	c.excused = until
 }
 
-// Arrived notes that a request has reached a server.
-func (c *Checker) Arrived(server, id string) {
+// RecordArrival notes that a request has reached a server.
+func (c *Checker) RecordArrival(server, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.arrivals[server]++
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -155,7 +155,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.checker.Arrived(entry.ID.Server, id)
+	s.checker.RecordArrival(entry.ID.Server, id)
 	s.checker.RecordIdentity(id, platformtest.ForwardedOrganisation(r.Header), holdsKey(r.Header))
 	s.checker.RecordRun(id, string(body))
 	if fault == Hang {
