--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -172,7 +172,7 @@
 	if err != nil || status != http.StatusOK && status != http.StatusNotFound {
 		return false
 	}
-	c.checker.Served(life, version, status == http.StatusOK)
+	c.checker.RecordConfigVersion(life, version, status == http.StatusOK)
 	return status == http.StatusOK
 }
 
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -201,8 +201,8 @@
 	return c.arrivals[server]
 }
 
-// Served notes that one life of a front has served a route of a version, or refused one.
-func (c *Checker) Served(front string, version int64, known bool) {
+// RecordConfigVersion notes that one life of a front has served a route of a version, or refused one.
+func (c *Checker) RecordConfigVersion(front string, version int64, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known {
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -33,8 +33,8 @@
 		"beyond budget":            {func(c *Checker) { c.RecordTokens("p", 6, 10); c.RecordTokens("p", 6, 10) }, "12 tokens of 10"},
 		"late at a leaving server": {func(c *Checker) { c.RecordDraining("s"); time.Sleep(3 * time.Second); c.RecordArrival("s", "a") }, "after it had said"},
 		"soon at a leaving server": {func(c *Checker) { c.RecordDraining("s"); time.Sleep(time.Second); c.RecordArrival("s", "a") }, ""},
-		"went back":                {func(c *Checker) { c.Served("f", 4, true); c.Served("f", 3, false) }, "went back"},
-		"not yet there":            {func(c *Checker) { c.Served("f", 4, true); c.Served("f", 5, false) }, ""},
+		"went back":                {func(c *Checker) { c.RecordConfigVersion("f", 4, true); c.RecordConfigVersion("f", 3, false) }, "went back"},
+		"not yet there":            {func(c *Checker) { c.RecordConfigVersion("f", 4, true); c.RecordConfigVersion("f", 5, false) }, ""},
 		"ended by itself":          {func(c *Checker) { c.Fail("%s ended by itself", "front-1") }, "ended by itself"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
