--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -231,7 +231,7 @@
 	if string(body) != eventText(id, 1, eventsPerTurn) || !platformtest.Signed(header, id) {
 		c.checker.Fail("turn %s was answered whole with %.120q", id, body)
 	}
-	c.checker.Ended("turn whole")
+	c.checker.RecordOutcome("turn whole")
 	l.previous, l.history = id, l.history+input+output
 	l.turns++
 	return http.StatusOK
@@ -256,16 +256,16 @@
 	if string(body) != toolAnswer(id) || !platformtest.Signed(header, id) {
 		c.checker.Fail("call %s was answered whole with %.120q", id, body)
 	}
-	c.checker.Ended("call whole")
+	c.checker.RecordOutcome("call whole")
 	return true
 }
 
 func (c *Caller) failed(id string, status int, err error) int {
 	if err != nil {
-		c.checker.Ended("broken off")
+		c.checker.RecordOutcome("broken off")
 		return 0
 	}
-	c.checker.Ended(fmt.Sprint("status ", status))
+	c.checker.RecordOutcome(fmt.Sprint("status ", status))
 	if slices.Contains(notRun, status) {
 		c.checker.RecordRefusal(id, status)
 	}
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// Ended counts how a request ended.
-func (c *Checker) Ended(outcome string) {
+// RecordOutcome counts how a request ended.
+func (c *Checker) RecordOutcome(outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[outcome]++
--- a/internal/testing/workload/question.go
+++ b/internal/testing/workload/question.go
@@ -68,6 +68,6 @@
 	if q.got != eventsPerTurn || string(body) != want {
 		c.checker.Fail("question %s ended as whole after event %d", id, q.got)
 	}
-	c.checker.Ended("question whole")
+	c.checker.RecordOutcome("question whole")
 	return http.StatusOK
 }
