--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -217,7 +217,7 @@
 				ran, passed := w.checker.Runs("north")-before, time.Since(began)
 				close(stop)
 				work.Wait()
-				n := w.checker.Most("north", 5*time.Second)
+				n := w.checker.MaxRunsWithin("north", 5*time.Second)
 				assert.Assert(t, float64(n) <= most, "%d requests in a window, of %.0f", n, most)
 				assert.Assert(t, ran >= int(passed.Seconds()*perSecond/2), "only %d requests in %v", ran, passed)
 				broken := w.checker.Violations()
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -245,7 +245,7 @@
 // checkLimit asks that no window held more of the bounded organisation's requests than is borne.
 func (w *Cluster) checkLimit() {
 	allowed := (boundedRate*quotaWindow.Seconds()+boundedRate)*(1+quotaExcess) + quotaSlack
-	if n := w.checker.Most(boundedName, quotaWindow); float64(n) > allowed {
+	if n := w.checker.MaxRunsWithin(boundedName, quotaWindow); float64(n) > allowed {
 		w.checker.Fail("%d requests of %s ran within %v, of %.0f", n, boundedName, quotaWindow, allowed)
 	}
 }
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -74,8 +74,8 @@
 // run is one running of a request.
 type run struct{ sent, ran time.Time }
 
-// Most returns the most requests of an organisation that were both sent and run within any window of a length.
-func (c *Checker) Most(organisation string, window time.Duration) int {
+// MaxRunsWithin returns the most requests of an organisation that were both sent and run within any window of a length.
+func (c *Checker) MaxRunsWithin(organisation string, window time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	runs := c.served[organisation]
