--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -72,7 +72,7 @@
 // askAll asks every front again and again on behalf of an organisation, until stop is closed.
 func (w *world) askAll(organisation string, pause time.Duration, stop <-chan struct{}, work *sync.WaitGroup) {
 	for i, m := range w.fronts {
-		caller := w.caller(uint64(i)).Of(organisation)
+		caller := w.caller(uint64(i)).ForOrganisation(organisation)
 		work.Go(func() {
 			for {
 				select {
@@ -118,8 +118,8 @@
 				struck.Wait()
 				time.Sleep(inForce)
 				for i, m := range w.fronts {
-					assert.Equal(t, w.caller(uint64(i)).Of("south").Ask(m.callers()), http.StatusOK, "%s", m.name)
-					assert.Equal(t, w.caller(uint64(i)).Of("north").Ask(m.callers()), http.StatusUnauthorized, "%s", m.name)
+					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("south").Ask(m.callers()), http.StatusOK, "%s", m.name)
+					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("north").Ask(m.callers()), http.StatusUnauthorized, "%s", m.name)
 				}
 				close(stop)
 				work.Wait()
@@ -174,7 +174,7 @@
 				struck.Wait()
 				time.Sleep(inForce)
 				for i, m := range w.fronts {
-					assert.Equal(t, w.caller(uint64(i)).Of("west").Ask(m.callers()), http.StatusOK, "%s", m.name)
+					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("west").Ask(m.callers()), http.StatusOK, "%s", m.name)
 				}
 				close(stop)
 				work.Wait()
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -53,7 +53,7 @@
 		callers.Go(func() { c.Run(work, stop) })
 	}
 	for i := range boundedCallers {
-		c := workload.NewCaller(fronts, w.checker, plan.Seed*1000+uint64(plan.Callers+i), nil).Of(boundedName)
+		c := workload.NewCaller(fronts, w.checker, plan.Seed*1000+uint64(plan.Callers+i), nil).ForOrganisation(boundedName)
 		callers.Go(func() { c.Run(workload.Lookups, stop) })
 	}
 	w.play(ctx)
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -67,8 +67,8 @@
 		client: &http.Client{Transport: &http.Transport{DialContext: dial}}}
 }
 
-// Of makes the caller one of an organisation, and returns it.
-func (c *Caller) Of(organisation string) *Caller {
+// ForOrganisation makes the caller one of an organisation, and returns it.
+func (c *Caller) ForOrganisation(organisation string) *Caller {
 	c.organisation = organisation
 	return c
 }
