--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -213,11 +213,11 @@
 		for i, m := range w.fronts {
 			wg.Go(func() {
 				time.Sleep(inForce)
-				if !c.Knows(m.callers(), m.host, version) && i != b.front && !b.news {
+				if !c.HasConfigVersion(m.callers(), m.host, version) && i != b.front && !b.news {
 					w.checker.Fail("%s does not serve version %d, set %v ago", m.host, version, inForce)
 				}
 			})
-			wg.Go(func() { c.Knows(m.callers(), m.host, version) })
+			wg.Go(func() { c.HasConfigVersion(m.callers(), m.host, version) })
 		}
 		select {
 		case <-stop:
@@ -229,7 +229,7 @@
 	w.awaitReady()
 	time.Sleep(inForce)
 	for _, m := range w.fronts {
-		if !c.Knows(m.callers(), m.host, w.newest()) {
+		if !c.HasConfigVersion(m.callers(), m.host, w.newest()) {
 			w.checker.Fail("%s does not serve the newest version after the faults", m.host)
 		}
 	}
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -102,7 +102,7 @@
 	time.Sleep(time.Until(returned.Add(newsBound)))
 	caller := w.caller(99)
 	for _, front := range w.fronts {
-		if !caller.Knows(front.callers(), front.host, version) {
+		if !caller.HasConfigVersion(front.callers(), front.host, version) {
 			w.checker.Fail("%s does not serve version %d %v after the store's return", front.host, version, newsBound)
 		}
 	}
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -163,9 +163,9 @@
 	}
 }
 
-// Knows asks a front for the route that came with a version, and reports whether it is in force there; false
+// HasConfigVersion asks a front for the route that came with a version, and reports whether it is in force there; false
 // too where the front does not answer. life names the front's present life.
-func (c *Caller) Knows(front, life string, version int64) bool {
+func (c *Caller) HasConfigVersion(front, life string, version int64) bool {
 	id := fmt.Sprintf("v%d", ids.Add(1))
 	c.checker.RecordSent(id, "", true)
 	status, _, _, err := c.sendTo(front, fmt.Sprintf("/new%d/", version), platformtest.Call{ID: id, Deadline: callDeadline}, "")
