--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -79,7 +79,7 @@
 				case <-stop:
 					return
 				case <-time.After(pause):
-					work.Go(func() { caller.Ask(m.callers()) })
+					work.Go(func() { caller.SendLookup(m.callers()) })
 				}
 			}
 		})
@@ -118,8 +118,8 @@
 				struck.Wait()
 				time.Sleep(inForce)
 				for i, m := range w.fronts {
-					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("south").Ask(m.callers()), http.StatusOK, "%s", m.name)
-					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("north").Ask(m.callers()), http.StatusUnauthorized, "%s", m.name)
+					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("south").SendLookup(m.callers()), http.StatusOK, "%s", m.name)
+					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("north").SendLookup(m.callers()), http.StatusUnauthorized, "%s", m.name)
 				}
 				close(stop)
 				work.Wait()
@@ -174,7 +174,7 @@
 				struck.Wait()
 				time.Sleep(inForce)
 				for i, m := range w.fronts {
-					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("west").Ask(m.callers()), http.StatusOK, "%s", m.name)
+					assert.Equal(t, w.caller(uint64(i)).ForOrganisation("west").SendLookup(m.callers()), http.StatusOK, "%s", m.name)
 				}
 				close(stop)
 				work.Wait()
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -176,8 +176,8 @@
 	return status == http.StatusOK
 }
 
-// Ask sends one lookup to a front and returns how it was answered; 0 where it broke off.
-func (c *Caller) Ask(front string) int {
+// SendLookup sends one lookup to a front and returns how it was answered; 0 where it broke off.
+func (c *Caller) SendLookup(front string) int {
 	id := fmt.Sprintf("a%d", ids.Add(1))
 	c.checker.RecordSent(id, "", true)
 	status, _, _, err := c.sendTo(front, "/lookup/", platformtest.Call{ID: id, Deadline: callDeadline}, "")
