--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -182,7 +182,7 @@
 		{"turns that are not kept", asks(workload.Questions), "question whole"},
 		{"turns of forked lines", asks(workload.Turns), "turn whole"},
 		{"turns beyond a budget", asks(workload.Budgets), "status 402"},
-		{"calls that must not run twice", asks(workload.Calls), "call whole"},
+		{"calls that must not run twice", asks(workload.AtMostOnceCalls), "call whole"},
 		{"lookups", asks(workload.Lookups), "call whole"},
 		{"configurations", (*world).changeConfigurations, ""},
 		{"servers that leave", (*world).replaceServers, "call whole"},
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -86,8 +86,8 @@
 	Turns Work = "turns"
 	// Budgets are two lines side by side, with a budget for fewer turns.
 	Budgets Work = "budgets"
-	// Calls are calls of tools that must not run twice.
-	Calls Work = "calls"
+	// AtMostOnceCalls are calls of tools that must not run twice.
+	AtMostOnceCalls Work = "calls"
 	// Lookups are calls that may.
 	Lookups Work = "lookups"
 )
@@ -107,7 +107,7 @@
 			c.questions()
 		case Turns, Budgets:
 			c.fork(work == Budgets)
-		case Calls:
+		case AtMostOnceCalls:
 			c.toolOrPause("/tool/", false)
 		case Lookups:
 			c.toolOrPause("/lookup/", true)
