--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -34,7 +34,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.ask(workload.Lookups, stop)
+		w.ask(workload.IdempotentCalls, stop)
 	}()
 	time.Sleep(time.Second)
 	if away {
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -37,7 +37,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.ask(workload.Lookups, stop)
+		w.ask(workload.IdempotentCalls, stop)
 	}()
 	time.Sleep(time.Second)
 	w.platform.Set("evacuations", evacuated, map[string]any{})
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -183,7 +183,7 @@
 		{"turns of forked lines", asks(workload.Turns), "turn whole"},
 		{"turns beyond a budget", asks(workload.Budgets), "status 402"},
 		{"calls that must not run twice", asks(workload.AtMostOnceCalls), "call whole"},
-		{"lookups", asks(workload.Lookups), "call whole"},
+		{"lookups", asks(workload.IdempotentCalls), "call whole"},
 		{"configurations", (*world).changeConfigurations, ""},
 		{"servers that leave", (*world).replaceServers, "call whole"},
 	}
@@ -241,7 +241,7 @@
 		w.checker.AllowLateArrivals(time.Now().Add(time.Hour))
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { w.ask(workload.Lookups, stop) })
+	wg.Go(func() { w.ask(workload.IdempotentCalls, stop) })
 	for i := 0; ; i++ {
 		s := w.servers[i%len(w.servers)]
 		wg.Go(func() {
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -73,7 +73,7 @@
 		w := newWorld(t)
 		stop := make(chan struct{})
 		var work sync.WaitGroup
-		work.Go(func() { w.ask(workload.Lookups, stop) })
+		work.Go(func() { w.ask(workload.IdempotentCalls, stop) })
 		play(w)
 		close(stop)
 		work.Wait()
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -54,7 +54,7 @@
 	}
 	for i := range boundedCallers {
 		c := workload.NewCaller(fronts, w.checker, plan.Seed*1000+uint64(plan.Callers+i), nil).ForOrganisation(boundedName)
-		callers.Go(func() { c.Run(workload.Lookups, stop) })
+		callers.Go(func() { c.Run(workload.IdempotentCalls, stop) })
 	}
 	w.play(ctx)
 	w.wg.Wait() // the organisation is back
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -88,8 +88,8 @@
 	Budgets Work = "budgets"
 	// AtMostOnceCalls are calls of tools that must not run twice.
 	AtMostOnceCalls Work = "calls"
-	// Lookups are calls that may.
-	Lookups Work = "lookups"
+	// IdempotentCalls are calls that may.
+	IdempotentCalls Work = "lookups"
 )
 
 // Run asks for work until stop is closed.
@@ -109,7 +109,7 @@
 			c.fork(work == Budgets)
 		case AtMostOnceCalls:
 			c.toolOrPause("/tool/", false)
-		case Lookups:
+		case IdempotentCalls:
 			c.toolOrPause("/lookup/", true)
 		}
 	}
