--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -180,7 +180,7 @@
 	return []row{
 		{"programs", asks(workload.Programs), "turn whole"},
 		{"turns that are not kept", asks(workload.Questions), "question whole"},
-		{"turns of forked lines", asks(workload.Turns), "turn whole"},
+		{"turns of forked lines", asks(workload.ForkedTurns), "turn whole"},
 		{"turns beyond a budget", asks(workload.Budgets), "status 402"},
 		{"calls that must not run twice", asks(workload.AtMostOnceCalls), "call whole"},
 		{"lookups", asks(workload.IdempotentCalls), "call whole"},
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -82,8 +82,8 @@
 	Programs Work = "programs"
 	// Questions are programs whose turns are not kept and may be resumed; every fourth has a scarce budget.
 	Questions Work = "questions"
-	// Turns are two lines of turns that fork from one, side by side.
-	Turns Work = "turns"
+	// ForkedTurns are two lines of turns that fork from one, side by side.
+	ForkedTurns Work = "turns"
 	// Budgets are two lines side by side, with a budget for fewer turns.
 	Budgets Work = "budgets"
 	// AtMostOnceCalls are calls of tools that must not run twice.
@@ -105,7 +105,7 @@
 			c.program()
 		case Questions:
 			c.questions()
-		case Turns, Budgets:
+		case ForkedTurns, Budgets:
 			c.fork(work == Budgets)
 		case AtMostOnceCalls:
 			c.toolOrPause("/tool/", false)
