--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -181,7 +181,7 @@
 		{"programs", asks(workload.Programs), "turn whole"},
 		{"turns that are not kept", asks(workload.Questions), "question whole"},
 		{"turns of forked lines", asks(workload.ForkedTurns), "turn whole"},
-		{"turns beyond a budget", asks(workload.Budgets), "status 402"},
+		{"turns beyond a budget", asks(workload.ForkedBudgets), "status 402"},
 		{"calls that must not run twice", asks(workload.AtMostOnceCalls), "call whole"},
 		{"lookups", asks(workload.IdempotentCalls), "call whole"},
 		{"configurations", (*world).changeConfigurations, ""},
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -84,8 +84,8 @@
 	Questions Work = "questions"
 	// ForkedTurns are two lines of turns that fork from one, side by side.
 	ForkedTurns Work = "turns"
-	// Budgets are two lines side by side, with a budget for fewer turns.
-	Budgets Work = "budgets"
+	// ForkedBudgets are two lines side by side, with a budget for fewer turns.
+	ForkedBudgets Work = "budgets"
 	// AtMostOnceCalls are calls of tools that must not run twice.
 	AtMostOnceCalls Work = "calls"
 	// IdempotentCalls are calls that may.
@@ -105,8 +105,8 @@
 			c.program()
 		case Questions:
 			c.questions()
-		case ForkedTurns, Budgets:
-			c.fork(work == Budgets)
+		case ForkedTurns, ForkedBudgets:
+			c.fork(work == ForkedBudgets)
 		case AtMostOnceCalls:
 			c.toolOrPause("/tool/", false)
 		case IdempotentCalls:
