--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -100,7 +100,7 @@
 			time.Sleep(faultTime)
 		}, -1, false},
 		{"servers hang", server(workload.Hang), -1, false},
-		{"servers break answers off", server(workload.Cut), -1, false},
+		{"servers break answers off", server(workload.Truncate), -1, false},
 		{"servers are full", server(workload.Shed), -1, false},
 		{"servers start again under their names", (*world).restartServers, -1, false},
 		{"servers start again while the platform is silent", func(w *world) {
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -37,8 +37,8 @@
 const (
 	// Hang runs requests and says nothing.
 	Hang Fault = "hang"
-	// Cut breaks answers off in the middle.
-	Cut Fault = "cut"
+	// Truncate breaks answers off in the middle.
+	Truncate Fault = "cut"
 	// Surplus sends each answer twice.
 	Surplus Fault = "surplus"
 	// Shed turns requests away as not run.
@@ -209,7 +209,7 @@
 		silentIfOver(r)
 		_, _ = io.WriteString(w, eventText(key, n, n)) // the caller may have left
 		w.(http.Flusher).Flush()
-		if fault == Cut && n == eventsPerTurn/2 {
+		if fault == Truncate && n == eventsPerTurn/2 {
 			_, _ = io.WriteString(w, "id: 9\nda") // half an event, which must not reach the caller
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
@@ -228,7 +228,7 @@
 func tool(w http.ResponseWriter, id string, fault Fault) {
 	body := toolAnswer(id)
 	switch fault {
-	case Cut:
+	case Truncate:
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 		_, _ = io.WriteString(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
