--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -120,7 +120,7 @@
 }
 
 var serverFaults = map[Kind]workload.Fault{
-	ServerHang: workload.Hang, ServerTruncate: workload.Truncate, ServerDuplicate: workload.Surplus, ServerShed: workload.Shed,
+	ServerHang: workload.Hang, ServerTruncate: workload.Truncate, ServerDuplicate: workload.Duplicate, ServerShed: workload.Shed,
 }
 
 func (w *Cluster) strikeProcess(f Fault) {
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -39,8 +39,8 @@
 	Hang Fault = "hang"
 	// Truncate breaks answers off in the middle.
 	Truncate Fault = "cut"
-	// Surplus sends each answer twice.
-	Surplus Fault = "surplus"
+	// Duplicate sends each answer twice.
+	Duplicate Fault = "surplus"
 	// Shed turns requests away as not run.
 	Shed Fault = "shed"
 )
@@ -232,7 +232,7 @@
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 		_, _ = io.WriteString(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
-	case Surplus:
+	case Duplicate:
 		conn, buffered, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
