--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -249,7 +249,7 @@
 			w.platform.SetServer(old)
 			time.Sleep(2500 * time.Millisecond)
 			w.platform.RemoveServer(old.ID.Server)
-			w.platform.SetServer(s.Rename())
+			w.platform.SetServer(s.Replace())
 		})
 		select {
 		case <-stop:
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -203,7 +203,7 @@
 	w.store.SetServer(old)
 	time.Sleep(f.For)
 	w.store.RemoveServer(old.ID.Server)
-	w.store.SetServer(s.Rename())
+	w.store.SetServer(s.Replace())
 }
 
 // spoilEntry writes over a server's entry what no server writes, and lets the server write its own again.
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -68,15 +68,15 @@
 	s := &Server{place: place, checker: checker, over: make(chan struct{})}
 	s.SetFault("")
 	s.entry = catalog.Server{Service: service, Address: address, DataCentre: fmt.Sprint("dc", place%3), Slots: 32}
-	s.Rename()
+	s.Replace()
 	return s
 }
 
 // SetFault sets how the server spoils its answers.
 func (s *Server) SetFault(f Fault) { s.fault.Store(f) }
 
-// Rename begins another life of the server at its address, and returns its entry.
-func (s *Server) Rename() catalog.Server {
+// Replace begins another life of the server at its address, and returns its entry.
+func (s *Server) Replace() catalog.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lives++
