--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -245,7 +245,7 @@
 	for i := 0; ; i++ {
 		s := w.servers[i%len(w.servers)]
 		wg.Go(func() {
-			old := s.Leave()
+			old := s.Drain()
 			w.platform.SetServer(old)
 			time.Sleep(2500 * time.Millisecond)
 			w.platform.RemoveServer(old.ID.Server)
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -96,7 +96,7 @@
 func (w *world) checkNews() {
 	returned := time.Now()
 	version := w.configure()
-	w.platform.SetServer(w.servers[1].Leave()) // the checker watches what still reaches it
+	w.platform.SetServer(w.servers[1].Drain()) // the checker watches what still reaches it
 	retiring := w.stores[1]
 	w.platform.Set("retirements", retiring.name, map[string]float64{"duration_s": 8})
 	time.Sleep(time.Until(returned.Add(newsBound)))
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -199,7 +199,7 @@
 // replaceServer drains a server; after a while another one answers at its address.
 func (w *Cluster) replaceServer(f Fault) {
 	s := w.servers[f.Target%len(w.servers)]
-	old := s.Leave()
+	old := s.Drain()
 	w.store.SetServer(old)
 	time.Sleep(f.For)
 	w.store.RemoveServer(old.ID.Server)
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Leave makes the server say that it leaves, and returns its entry.
-func (s *Server) Leave() catalog.Server {
+// Drain makes the server say that it leaves, and returns its entry.
+func (s *Server) Drain() catalog.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entry.Draining = true
