--- a/internal/testing/faultmatrix/checker_test.go
+++ b/internal/testing/faultmatrix/checker_test.go
@@ -136,7 +136,7 @@
 // memory: no engine holds anything for an ended program.
 func (k *checker) memory() {
 	for i, engine := range k.c.engines {
-		for _, tag := range engine.Held() {
+		for _, tag := range engine.HeldTags() {
 			if k.h.ended[rootOf(tag)] {
 				k.violated(memoryFreed, "engine %d holds cache of ended program %s", i+1, tag)
 			}
--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -100,8 +100,8 @@
 	return append([]Completed(nil), e.served...)
 }
 
-// Held returns the tags for which the engine keeps cache.
-func (e *Engine) Held() []string {
+// HeldTags returns the tags for which the engine keeps cache.
+func (e *Engine) HeldTags() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var tags []string
