--- a/internal/testing/plots/plots.go
+++ b/internal/testing/plots/plots.go
@@ -33,7 +33,7 @@
 	At    time.Time
 	Site  string
 	Name  string
-	Worth float64
+	Score float64
 	// VMs is how many VMs of our own the day had.
 	VMs    int
 	Broken bool
@@ -91,7 +91,7 @@
 	for i, site := range sites {
 		var points plotter.XYs
 		for _, d := range grouped[site] {
-			xy := plotter.XY{X: float64(d.At.Unix()), Y: d.Worth}
+			xy := plotter.XY{X: float64(d.At.Unix()), Y: d.Score}
 			if d.Broken {
 				broken = append(broken, xy)
 				continue
