--- a/internal/testing/plots/plots.go
+++ b/internal/testing/plots/plots.go
@@ -37,8 +37,8 @@
 	// VMs is how many VMs of our own the day had.
 	VMs    int
 	Broken bool
-	// Prices are what each thing took off the worth, by its name.
-	Prices map[string]float64
+	// Deductions are what each thing took off the worth, by its name.
+	Deductions map[string]float64
 }
 
 // Draw writes the plots of days into a folder, as PNG files, and returns their names.
@@ -113,7 +113,7 @@
 	means := map[string]plotter.Values{}
 	for i, site := range sites {
 		for _, d := range grouped[site] {
-			for name, taken := range d.Prices {
+			for name, taken := range d.Deductions {
 				if means[name] == nil {
 					means[name] = make(plotter.Values, len(sites))
 				}
@@ -153,7 +153,7 @@
 		var points plotter.XYs
 		for _, d := range grouped[site] {
 			total := 0.0
-			for _, taken := range d.Prices {
+			for _, taken := range d.Deductions {
 				total += taken
 			}
 			points = append(points, plotter.XY{X: float64(d.VMs), Y: total})
--- a/internal/testing/plots/plots_test.go
+++ b/internal/testing/plots/plots_test.go
@@ -14,8 +14,8 @@
 func TestEveryPlotIsAPicture(t *testing.T) {
 	at := time.Date(2026, 12, 2, 17, 0, 0, 0, time.UTC)
 	days := []plots.Day{
-		{At: at, Site: "a", Score: 0.9, VMs: 11, Prices: map[string]float64{"calls": 0.01, "memory": 0.02, "nothing": 0}},
-		{At: at.Add(time.Hour), Site: "b", Score: 0.8, VMs: 64, Prices: map[string]float64{"calls": 0.03}},
+		{At: at, Site: "a", Score: 0.9, VMs: 11, Deductions: map[string]float64{"calls": 0.01, "memory": 0.02, "nothing": 0}},
+		{At: at.Add(time.Hour), Site: "b", Score: 0.8, VMs: 64, Deductions: map[string]float64{"calls": 0.03}},
 		{At: at.Add(time.Hour), Site: "b", Broken: true, VMs: 64},
 	}
 	files, err := plots.Draw(t.TempDir(), days)
