--- a/cmd/rookpass-plot/main.go
+++ b/cmd/rookpass-plot/main.go
@@ -82,5 +82,5 @@
 	for _, price := range d.Deductions {
 		taken[price.Name] += price.Amount
 	}
-	return plots.Day{At: r.At, Site: r.Site, Name: d.Name, Score: d.Score, VMs: d.VMs, Broken: d.Failed, Deductions: taken}
+	return plots.Day{At: r.At, Site: r.Site, Name: d.Name, Score: d.Score, VMs: d.VMs, Failed: d.Failed, Deductions: taken}
 }
--- a/internal/testing/plots/plots.go
+++ b/internal/testing/plots/plots.go
@@ -36,7 +36,7 @@
 	Score float64
 	// VMs is how many VMs of our own the day had.
 	VMs    int
-	Broken bool
+	Failed bool
 	// Deductions are what each thing took off the worth, by its name.
 	Deductions map[string]float64
 }
@@ -92,7 +92,7 @@
 		var points plotter.XYs
 		for _, d := range grouped[site] {
 			xy := plotter.XY{X: float64(d.At.Unix()), Y: d.Score}
-			if d.Broken {
+			if d.Failed {
 				broken = append(broken, xy)
 				continue
 			}
--- a/internal/testing/plots/plots_test.go
+++ b/internal/testing/plots/plots_test.go
@@ -16,7 +16,7 @@
 	days := []plots.Day{
 		{At: at, Site: "a", Score: 0.9, VMs: 11, Deductions: map[string]float64{"calls": 0.01, "memory": 0.02, "nothing": 0}},
 		{At: at.Add(time.Hour), Site: "b", Score: 0.8, VMs: 64, Deductions: map[string]float64{"calls": 0.03}},
-		{At: at.Add(time.Hour), Site: "b", Broken: true, VMs: 64},
+		{At: at.Add(time.Hour), Site: "b", Failed: true, VMs: 64},
 	}
 	files, err := plots.Draw(t.TempDir(), days)
 	assert.NilError(t, err)
