--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -214,7 +214,7 @@
 			wg.Go(func() {
 				time.Sleep(inForce)
 				if !c.HasConfigVersion(m.callers(), m.host, version) && i != b.front && !b.news {
-					w.checker.Fail("%s does not serve version %d, set %v ago", m.host, version, inForce)
+					w.checker.AddViolation("%s does not serve version %d, set %v ago", m.host, version, inForce)
 				}
 			})
 			wg.Go(func() { c.HasConfigVersion(m.callers(), m.host, version) })
@@ -230,7 +230,7 @@
 	time.Sleep(inForce)
 	for _, m := range w.fronts {
 		if !c.HasConfigVersion(m.callers(), m.host, w.newest()) {
-			w.checker.Fail("%s does not serve the newest version after the faults", m.host)
+			w.checker.AddViolation("%s does not serve the newest version after the faults", m.host)
 		}
 	}
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -103,11 +103,11 @@
 	caller := w.caller(99)
 	for _, front := range w.fronts {
 		if !caller.HasConfigVersion(front.callers(), front.host, version) {
-			w.checker.Fail("%s does not serve version %d %v after the store's return", front.host, version, newsBound)
+			w.checker.AddViolation("%s does not serve version %d %v after the store's return", front.host, version, newsBound)
 		}
 	}
 	if status := w.platform.Status("retirements", retiring.name); status == "" {
-		w.checker.Fail("%s has not said that its disk is being emptied %v after the store's return", retiring.host, newsBound)
+		w.checker.AddViolation("%s has not said that its disk is being emptied %v after the store's return", retiring.host, newsBound)
 	}
 	time.Sleep(3 * time.Second) // requests to the server that left would come now
 }
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -246,7 +246,7 @@
 func (w *Cluster) checkLimit() {
 	allowed := (boundedRate*quotaWindow.Seconds()+boundedRate)*(1+quotaExcess) + quotaSlack
 	if n := w.checker.MaxRunsWithin(boundedName, quotaWindow); float64(n) > allowed {
-		w.checker.Fail("%d requests of %s ran within %v, of %.0f", n, boundedName, quotaWindow, allowed)
+		w.checker.AddViolation("%d requests of %s ran within %v, of %.0f", n, boundedName, quotaWindow, allowed)
 	}
 }
 
@@ -257,7 +257,7 @@
 		s.link.set(pass)
 	}
 	if err := w.awaitReady(); err != nil {
-		w.checker.Fail("after the faults: %v", err)
+		w.checker.AddViolation("after the faults: %v", err)
 	}
 }
 
--- a/internal/testing/soak/world.go
+++ b/internal/testing/soak/world.go
@@ -180,7 +180,7 @@
 		_ = out.Close()
 		p.mu.Lock()
 		if !p.ending {
-			w.checker.Fail("%s ended by itself: %v", p.node, err)
+			w.checker.AddViolation("%s ended by itself: %v", p.node, err)
 		}
 		p.mu.Unlock()
 		close(ended)
@@ -218,18 +218,18 @@
 	select {
 	case <-ended:
 	case <-time.After((graceSeconds + 1) * time.Second):
-		w.checker.Fail("%s still ran %d s after SIGTERM", p.node, graceSeconds+1)
+		w.checker.AddViolation("%s still ran %d s after SIGTERM", p.node, graceSeconds+1)
 		_ = p.cmd.Process.Kill()
 		<-ended
 	}
 	if disk != nil {
 		if err := disk(p.settings.DataDir); err != nil {
-			w.checker.Fail("soak: %v", err)
+			w.checker.AddViolation("soak: %v", err)
 		}
 	}
 	time.Sleep(after)
 	if err := w.start(p); err != nil {
-		w.checker.Fail("soak: %v", err)
+		w.checker.AddViolation("soak: %v", err)
 	}
 }
 
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -153,13 +153,13 @@
 func (c *Caller) CheckRecovery() {
 	fresh := line{program: fmt.Sprintf("p%d", ids.Add(1))}
 	if !c.turnWithin(&fresh, recoveryTime) {
-		c.checker.Fail("after the faults no new program was served within %v", recoveryTime)
+		c.checker.AddViolation("after the faults no new program was served within %v", recoveryTime)
 	}
 	if c.last.previous == "" || c.last.scarce {
 		return
 	}
 	if !c.turnWithin(&c.last, recoveryTime) {
-		c.checker.Fail("after the faults program %s could not go on from %s", c.last.program, c.last.previous)
+		c.checker.AddViolation("after the faults program %s could not go on from %s", c.last.program, c.last.previous)
 	}
 }
 
@@ -219,7 +219,7 @@
 	status, header, body, err := c.send("/turn/", call, input)
 	c.checker.RecordTokens(l.program, tokensPerEvent*int64(strings.Count(string(body), "data: ")), budget+mostTokens)
 	if status == http.StatusNotFound {
-		c.checker.Fail("turn %s was answered 404 though %q is kept", id, l.previous)
+		c.checker.AddViolation("turn %s was answered 404 though %q is kept", id, l.previous)
 	}
 	if status != http.StatusOK || err != nil {
 		return c.failed(id, status, err)
@@ -229,7 +229,7 @@
 		output += eventData(id, n) + "\n"
 	}
 	if string(body) != eventText(id, 1, eventsPerTurn) || !platformtest.Signed(header, id) {
-		c.checker.Fail("turn %s was answered whole with %.120q", id, body)
+		c.checker.AddViolation("turn %s was answered whole with %.120q", id, body)
 	}
 	c.checker.RecordOutcome("turn whole")
 	l.previous, l.history = id, l.history+input+output
@@ -254,7 +254,7 @@
 		return false
 	}
 	if string(body) != toolAnswer(id) || !platformtest.Signed(header, id) {
-		c.checker.Fail("call %s was answered whole with %.120q", id, body)
+		c.checker.AddViolation("call %s was answered whole with %.120q", id, body)
 	}
 	c.checker.RecordOutcome("call whole")
 	return true
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -37,8 +37,8 @@
 		handed: map[string]int64{}, leaving: map[string]time.Time{}, arrivals: map[string]int{}, seen: map[string]int64{}, counts: map[string]int{}}
 }
 
-// Fail notes a broken promise.
-func (c *Checker) Fail(format string, args ...any) {
+// AddViolation notes a broken promise.
+func (c *Checker) AddViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fail(format, args...)
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -35,7 +35,7 @@
 		"soon at a leaving server": {func(c *Checker) { c.RecordDraining("s"); time.Sleep(time.Second); c.RecordArrival("s", "a") }, ""},
 		"went back":                {func(c *Checker) { c.RecordConfigVersion("f", 4, true); c.RecordConfigVersion("f", 3, false) }, "went back"},
 		"not yet there":            {func(c *Checker) { c.RecordConfigVersion("f", 4, true); c.RecordConfigVersion("f", 5, false) }, ""},
-		"ended by itself":          {func(c *Checker) { c.Fail("%s ended by itself", "front-1") }, "ended by itself"},
+		"ended by itself":          {func(c *Checker) { c.AddViolation("%s ended by itself", "front-1") }, "ended by itself"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			checker := NewChecker()
--- a/internal/testing/workload/question.go
+++ b/internal/testing/workload/question.go
@@ -59,14 +59,14 @@
 	c.checker.RecordTokens(q.program, int64(tokensPerEvent*events), q.budget+mostTokens)
 	want := eventText(q.text, q.got+1, q.got+events)
 	if !strings.HasPrefix(string(body), want) || q.got+events > eventsPerTurn || !platformtest.Signed(header, id) {
-		c.checker.Fail("question %s, asked behind event %d, was answered with %.120q", id, q.got, body)
+		c.checker.AddViolation("question %s, asked behind event %d, was answered with %.120q", id, q.got, body)
 	}
 	q.got += events
 	if err != nil {
 		return c.failed(id, status, err)
 	}
 	if q.got != eventsPerTurn || string(body) != want {
-		c.checker.Fail("question %s ended as whole after event %d", id, q.got)
+		c.checker.AddViolation("question %s ended as whole after event %d", id, q.got)
 	}
 	c.checker.RecordOutcome("question whole")
 	return http.StatusOK
