--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -179,7 +179,7 @@
 	}
 	return []row{
 		{"programs", asks(workload.Programs), "turn whole"},
-		{"turns that are not kept", asks(workload.Questions), "question whole"},
+		{"turns that are not kept", asks(workload.ResumablePrograms), "question whole"},
 		{"turns of forked lines", asks(workload.ForkedTurns), "turn whole"},
 		{"turns beyond a budget", asks(workload.ForkedBudgets), "status 402"},
 		{"calls that must not run twice", asks(workload.AtMostOnceCalls), "call whole"},
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -48,7 +48,7 @@
 		all = append(all, c)
 		work := workload.Programs
 		if i%questionShare == 0 {
-			work = workload.Questions
+			work = workload.ResumablePrograms
 		}
 		callers.Go(func() { c.Run(work, stop) })
 	}
--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -80,8 +80,8 @@
 const (
 	// Programs are turns with calls of tools between them; every fourth program has a scarce budget.
 	Programs Work = "programs"
-	// Questions are programs whose turns are not kept and may be resumed; every fourth has a scarce budget.
-	Questions Work = "questions"
+	// ResumablePrograms are programs whose turns are not kept and may be resumed; every fourth has a scarce budget.
+	ResumablePrograms Work = "questions"
 	// ForkedTurns are two lines of turns that fork from one, side by side.
 	ForkedTurns Work = "turns"
 	// ForkedBudgets are two lines side by side, with a budget for fewer turns.
@@ -103,7 +103,7 @@
 		switch work {
 		case Programs:
 			c.program()
-		case Questions:
+		case ResumablePrograms:
 			c.questions()
 		case ForkedTurns, ForkedBudgets:
 			c.fork(work == ForkedBudgets)
