--- a/internal/objects/objectapi/apitest/faulty.go
+++ b/internal/objects/objectapi/apitest/faulty.go
@@ -1,5 +1,5 @@
-// Package apitest wraps an object API with the faults that the platform shows: outages, slowness, writes whose
-// answer is lost, and stale reads. For tests.
+// Package apitest wraps an object API with injected faults for tests: outages, delays, writes whose response is lost,
+// and stale reads.
 package apitest
 
 import (
@@ -11,49 +11,49 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// Fault is a way in which requests fail.
+// Fault is a failure mode of requests.
 type Fault int
 
-// The faults.
+// Failure modes.
 const (
-	// None lets requests through.
+	// None passes requests through.
 	None Fault = iota
-	// Down refuses everything; nothing takes effect.
+	// Down refuses all requests; none takes effect.
 	Down
-	// LostResponses carries writes out and then loses their answers.
+	// LostResponses carries writes out and then reports an unknown outcome.
 	LostResponses
-	// LostRequests loses writes before they take effect, without saying so.
+	// LostRequests drops writes and reports an unknown outcome.
 	LostRequests
 	// ReadOnly refuses writes.
 	ReadOnly
-	// Stale answers lists as of the time at which the fault was set, and watches with ErrGone.
+	// Stale returns lists as of the time at which the fault was set, and fails watches with ErrGone.
 	Stale
-	// NoClusterUpdates holds watches, and writes below "cluster/", back until another fault is set: the daemon does not
-	// learn what others do, while its log works.
+	// NoClusterUpdates blocks watches, and writes below "cluster/", until another fault is set: a daemon can write its
+	// log but learns nothing of the others.
 	NoClusterUpdates
-	// Hang answers nothing until the request's context ends or another fault is set.
+	// Hang blocks requests until their context ends or another fault is set.
 	Hang
 )
 
-// API is an object API with faults. Use New.
+// API is an object API with injected faults. Use New.
 type API struct {
 	objectapi.API
 
 	mu    sync.Mutex
 	fault Fault
-	// switched is closed when the fault changes.
+	// switched is closed and replaced when the fault changes.
 	switched chan struct{}
-	// stale is the whole content at the time at which Stale was set.
+	// stale is the content that lists return under Stale.
 	stale  objectapi.Snapshot
 	delay  time.Duration
 	writes int
 	reads  int
 }
 
-// New wraps an API.
+// New wraps api; no fault is set.
 func New(api objectapi.API) *API { return &API{API: api, switched: make(chan struct{})} }
 
-// SetFault switches a fault on for all requests to come.
+// SetFault sets the fault of all later requests.
 func (a *API) SetFault(fault Fault) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -65,7 +65,7 @@
 	a.switched = make(chan struct{})
 }
 
-// SetStale sets the fault Stale with the content that stale lists show.
+// SetStale sets the fault Stale and the content that lists then return.
 func (a *API) SetStale(content objectapi.Snapshot) {
 	a.SetFault(Stale)
 	a.mu.Lock()
@@ -73,22 +73,22 @@
 	a.stale = content
 }
 
-// SetDelay makes every request take longer.
+// SetDelay delays every later request.
 func (a *API) SetDelay(delay time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.delay = delay
 }
 
-// Counts returns how many reads and writes were asked for.
+// Counts returns the numbers of reads and writes received.
 func (a *API) Counts() (reads, writes int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.reads, a.writes
 }
 
-// before counts a request, waits the delay and returns the fault in force.
-func (a *API) before(ctx context.Context, write bool) (Fault, error) {
+// begin counts a request, applies the delay and returns the current fault, with an error if it ends the request.
+func (a *API) begin(ctx context.Context, write bool) (Fault, error) {
 	a.mu.Lock()
 	fault, delay := a.fault, a.delay
 	if write {
@@ -98,7 +98,7 @@
 	}
 	a.mu.Unlock()
 	if fault == Hang {
-		a.hold(ctx)
+		a.waitForSwitch(ctx)
 		if write {
 			return fault, objectapi.ErrUnknownOutcome
 		}
@@ -113,8 +113,8 @@
 	return fault, nil
 }
 
-// hold waits until another fault is set.
-func (a *API) hold(ctx context.Context) {
+// waitForSwitch blocks until another fault is set or ctx ends.
+func (a *API) waitForSwitch(ctx context.Context) {
 	a.mu.Lock()
 	switched := a.switched
 	a.mu.Unlock()
@@ -124,8 +124,8 @@
 	}
 }
 
-// staleWait is how long a stale watch waits before it says that its place is gone.
-const staleWait = 100 * time.Millisecond
+// staleWatchDelay is the time after which a watch fails under Stale.
+const staleWatchDelay = 100 * time.Millisecond
 
 func (a *API) staleList(prefix string) objectapi.Snapshot {
 	a.mu.Lock()
@@ -141,7 +141,7 @@
 
 // Get implements objectapi.API.
 func (a *API) Get(ctx context.Context, key string) (objectapi.Object, error) {
-	if _, err := a.before(ctx, false); err != nil {
+	if _, err := a.begin(ctx, false); err != nil {
 		return objectapi.Object{}, err
 	}
 	return a.API.Get(ctx, key)
@@ -149,7 +149,7 @@
 
 // List implements objectapi.API.
 func (a *API) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
-	fault, err := a.before(ctx, false)
+	fault, err := a.begin(ctx, false)
 	if err != nil {
 		return objectapi.Snapshot{}, err
 	}
@@ -161,12 +161,12 @@
 
 // Put implements objectapi.API.
 func (a *API) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (objectapi.Object, error) {
-	fault, err := a.before(ctx, true)
+	fault, err := a.begin(ctx, true)
 	if err != nil {
 		return objectapi.Object{}, err
 	}
 	if fault == NoClusterUpdates && strings.HasPrefix(key, "cluster/") {
-		a.hold(ctx)
+		a.waitForSwitch(ctx)
 		return objectapi.Object{}, objectapi.ErrUnknownOutcome
 	}
 	if fault == LostRequests {
@@ -181,7 +181,7 @@
 
 // Delete implements objectapi.API.
 func (a *API) Delete(ctx context.Context, key string, ifVersion uint64) (uint64, error) {
-	fault, err := a.before(ctx, true)
+	fault, err := a.begin(ctx, true)
 	if err != nil {
 		return 0, err
 	}
@@ -197,16 +197,16 @@
 
 // Wait implements objectapi.API.
 func (a *API) Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error) {
-	fault, err := a.before(ctx, false)
+	fault, err := a.begin(ctx, false)
 	if err != nil {
 		return objectapi.Batch{}, err
 	}
 	if fault == NoClusterUpdates {
-		a.hold(ctx)
+		a.waitForSwitch(ctx)
 		return objectapi.Batch{}, objectapi.ErrUnavailable
 	}
 	if fault == Stale {
-		<-time.After(staleWait)
+		<-time.After(staleWatchDelay)
 		return objectapi.Batch{}, objectapi.ErrGone
 	}
 	return a.API.Wait(ctx, prefixes, after, wait)
--- a/internal/objects/objectapi/contract_test.go
+++ b/internal/objects/objectapi/contract_test.go
@@ -19,14 +19,14 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// harness is one implementation under the contract, over a store whose faults can be switched.
+// harness is one implementation under test, with access to its backing store and to injected faults.
 type harness struct {
 	api   objectapi.API
 	store *memapi.API
 	fault *apitest.API
 }
 
-// implementations are the fake used in tests and the real client against the stand-in server.
+// implementations holds the in-memory API and the HTTP client connected to the stand-in server.
 var implementations = map[string]func(t *testing.T) harness{
 	"memory": func(*testing.T) harness {
 		store := memapi.New()
--- a/internal/objects/objectapi/httpapi/client.go
+++ b/internal/objects/objectapi/httpapi/client.go
@@ -1,4 +1,4 @@
-// Package httpapi is the client of the object API's HTTP interface. docs/DESIGN.md lists its requests.
+// Package httpapi implements the object API's client over HTTP. docs/DESIGN.md lists its requests.
 package httpapi
 
 import (
@@ -16,25 +16,25 @@
 	"github.com/rookpass/rookpass/internal/transport/httpclient"
 )
 
-// Bounds on one request.
+// Limits of one request.
 const (
 	requestTimeout = 2 * time.Second
-	// idleLimit is above the longest wait of a watch.
-	idleLimit = 30 * time.Second
-	// maxAnswerBytes bounds a list.
-	maxAnswerBytes = 256 << 20
+	// idleTimeout exceeds the longest wait of a watch.
+	idleTimeout = 30 * time.Second
+	// maxResponseBytes limits the body of a list.
+	maxResponseBytes = 256 << 20
 )
 
-// waitMargin is how much longer than its wait a watch's answer may take.
-const waitMargin = time.Second
+// watchMargin is added to the wait of a watch for its total timeout.
+const watchMargin = time.Second
 
-// Client implements objectapi.API. Use New.
+// Client implements objectapi.API over HTTP. Use New.
 type Client struct {
 	client *httpclient.Client
 	stats  Stats
 }
 
-// Stats counts requests sent.
+// Stats counts the requests sent.
 type Stats struct {
 	Reads   atomic.Int64
 	Writes  atomic.Int64
@@ -43,13 +43,13 @@
 
 // New returns a client of the object API at an IP:port address.
 func New(addr string, dial httpclient.DialFunc) *Client {
-	return &Client{client: httpclient.New(addr, dial, idleLimit)}
+	return &Client{client: httpclient.New(addr, dial, idleTimeout)}
 }
 
-// Stats returns the counters.
+// Stats returns the live counters.
 func (c *Client) Stats() *Stats { return &c.stats }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.client.Close() }
 
 // Get implements objectapi.API.
@@ -100,7 +100,7 @@
 	}
 	var batch objectapi.Batch
 	r := httpclient.Request{Method: http.MethodGet, Path: "/v1/watch?" + query.Encode()}
-	err := c.do(ctx, wait+waitMargin, r, &batch)
+	err := c.do(ctx, wait+watchMargin, r, &batch)
 	return batch, err
 }
 
@@ -110,31 +110,31 @@
 	return objectPath(key) + "?version=" + strconv.FormatUint(version, 10)
 }
 
-// do sends a request and decodes its answer. Whatever is not a clear answer leaves a write's outcome
-// unknown.
-func (c *Client) do(ctx context.Context, timeout time.Duration, r httpclient.Request, answer any) error {
+// do sends a request and decodes its response into result. A failure that leaves the outcome of a write open is
+// ErrUnknownOutcome.
+func (c *Client) do(ctx context.Context, timeout time.Duration, r httpclient.Request, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	unclear := objectapi.ErrUnavailable
+	ambiguous := objectapi.ErrUnavailable
 	if r.Method != http.MethodGet {
-		unclear = objectapi.ErrUnknownOutcome
+		ambiguous = objectapi.ErrUnknownOutcome
 	}
 	resp, err := c.client.Do(ctx, r)
 	if errors.Is(err, httpclient.ErrNotSent) {
 		return fmt.Errorf("%w: %w", objectapi.ErrUnavailable, err)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", unclear, err)
+		return fmt.Errorf("%w: %w", ambiguous, err)
 	}
-	body, err := resp.ReadAll(ctx, maxAnswerBytes)
+	body, err := resp.ReadAll(ctx, maxResponseBytes)
 	if err != nil {
-		return fmt.Errorf("%w: %w", unclear, err)
+		return fmt.Errorf("%w: %w", ambiguous, err)
 	}
-	if err := objectapi.ErrorFromStatus(resp.Status, unclear); err != nil {
+	if err := objectapi.ErrorFromStatus(resp.Status, ambiguous); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(body, answer); err != nil {
-		return fmt.Errorf("%w: %w", unclear, err)
+	if err := json.Unmarshal(body, result); err != nil {
+		return fmt.Errorf("%w: %w", ambiguous, err)
 	}
 	return nil
 }
--- a/internal/objects/objectapi/memapi/memapi.go
+++ b/internal/objects/objectapi/memapi/memapi.go
@@ -1,4 +1,4 @@
-// Package memapi is an in-memory object API. The stand-in server serves it; tests use it directly.
+// Package memapi implements the object API in memory, for tests and the stand-in server.
 package memapi
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// historyLimit is the number of past events that a watch can resume over.
+// historyLimit is the number of past events kept for watches.
 const historyLimit = 4096
 
 // API is an in-memory objectapi.API. Use New.
@@ -19,10 +19,10 @@
 	mu      sync.Mutex
 	version uint64
 	objects map[string]objectapi.Object
-	// events holds the latest changes in order; trimmed is the version of the last one dropped.
-	events  []objectapi.Event
-	trimmed uint64
-	changed chan struct{}
+	// events holds the latest changes in order; trimmedVersion is the version of the last event dropped.
+	events         []objectapi.Event
+	trimmedVersion uint64
+	changed        chan struct{}
 }
 
 // New returns an empty API.
@@ -87,13 +87,13 @@
 	return a.version, nil
 }
 
-// record adds an event, moves the version on and wakes the waiting watches.
+// record appends an event, advances the version and wakes waiting watches.
 func (a *API) record(event objectapi.Event) {
 	a.version = event.Version
 	a.events = append(a.events, event)
 	if len(a.events) > historyLimit {
 		drop := len(a.events) - historyLimit
-		a.trimmed = a.events[drop-1].Version
+		a.trimmedVersion = a.events[drop-1].Version
 		a.events = slices.Delete(a.events, 0, drop)
 	}
 	close(a.changed)
@@ -105,7 +105,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		batch, changed, err := a.since(prefixes, after)
+		batch, changed, err := a.eventsSince(prefixes, after)
 		if err != nil || len(batch.Events) > 0 {
 			return batch, err
 		}
@@ -119,18 +119,18 @@
 	}
 }
 
-// Compact forgets all past events, so that older watches must list again. For tests.
+// Compact drops all past events, so that older watches fail with ErrGone. For tests.
 func (a *API) Compact() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.events = nil
-	a.trimmed = a.version
+	a.trimmedVersion = a.version
 }
 
-func (a *API) since(prefixes []string, after uint64) (objectapi.Batch, <-chan struct{}, error) {
+func (a *API) eventsSince(prefixes []string, after uint64) (objectapi.Batch, <-chan struct{}, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if after < a.trimmed || after > a.version {
+	if after < a.trimmedVersion || after > a.version {
 		return objectapi.Batch{}, nil, objectapi.ErrGone
 	}
 	batch := objectapi.Batch{Version: a.version}
--- a/internal/objects/objectapi/status.go
+++ b/internal/objects/objectapi/status.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// ErrorFromStatus returns the outcome that the HTTP status of an answer tells; unclear is that of a call whose status
-// tells nothing certain.
-func ErrorFromStatus(status int, unclear error) error {
+// ErrorFromStatus maps the HTTP status of a response to one of this package's errors, or nil for success. A status
+// that does not determine the outcome becomes ambiguous.
+func ErrorFromStatus(status int, ambiguous error) error {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
 		return nil
@@ -22,6 +22,6 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	default:
-		return fmt.Errorf("%w: status %d", unclear, status)
+		return fmt.Errorf("%w: status %d", ambiguous, status)
 	}
 }
