--- a/internal/objects/watch/shared_source.go
+++ b/internal/objects/watch/shared_source.go
@@ -12,114 +12,115 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// Pauses between attempts while the source does not answer. They stay short however long an outage lasts: what is
-// changed at its end must be in force soon, and pauses of daemons that read through one another add up.
+// Range of the pauses between requests to a source that does not answer. They stay short during long outages because
+// the pauses of daemons that read through one another add up.
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = 200 * time.Millisecond
+	initialPause = 50 * time.Millisecond
+	maxPause     = 200 * time.Millisecond
 )
 
-// probeTimeout bounds one question whether the source is back. Further ones are asked meanwhile: a silent source must
-// not hold up the notice of its return, and a slow one, with 0.4 s an answer, must not pass for a silent one.
+// probeTimeout limits one probe of a source that does not answer. It exceeds the response time of a slow source;
+// further probes are sent in the meantime.
 const probeTimeout = time.Second
 
-// endPause is the least time between two returns that end the calls of watchers that had lost nothing: a prefix whose lists
-// fail again and again must not cost each of the others more than two calls a second.
-const endPause = time.Second
+// minCallsEndInterval is the least time between two recoveries that cancel the pending polls of other watchers. It
+// limits what a prefix whose lists keep failing costs the other watchers.
+const minCallsEndInterval = time.Second
 
-// errReturned ends calls that were sent before their source was back.
-var errReturned = errors.New("the source is back")
+// errRecovered ends calls that were sent before the source recovered.
+var errRecovered = errors.New("source recovered")
 
-// SharedSource is what the watchers of one source share: whether it answers. While it does not, one of them at a time is asked
-// for, in turn; all go on at the first answer. So an outage costs a daemon the calls of one watcher, and watches that
-// wait long learn of its end as soon as the others. Use NewLink.
+// SharedSource is a source with the state of its availability, shared by several watchers. While the source does not
+// answer, one watcher probes it on behalf of all, and the first answer wakes all of them. Use NewSharedSource.
 type SharedSource struct {
 	source Source
 
 	mu sync.Mutex
-	// lost are the questions of the watchers that wait for the source, the next to be asked first.
-	lost []*question
-	// returned is closed, and replaced, when a source that was lost answers; callsEnd too, but not twice within endPause.
-	returned, callsEnd chan struct{}
-	callsEnded         time.Time
+	// waiting holds the probes of the watchers that wait for the source, the next one to send first.
+	waiting []*pendingProbe
+	// recovered is closed and replaced when the source answers again. endCalls is closed and replaced at the same time,
+	// but at most once per minCallsEndInterval.
+	recovered, endCalls chan struct{}
+	callsEndedAt        time.Time
 }
 
-// question asks a source for the changes of some prefixes after a version.
-type question struct {
+// pendingProbe requests the changes of some prefixes after a version.
+type pendingProbe struct {
 	prefixes []string
 	version  uint64
-	// answer holds the first answer, until its watcher takes it.
-	answer chan answer
+	// answer receives the first result.
+	answer chan probeResult
 }
 
-// answer is what a source said to a question: changes, or that its history is gone.
-type answer struct {
+// probeResult is an answer of the source: changes, or ErrGone.
+type probeResult struct {
 	batch objectapi.Batch
 	err   error
 }
 
-// NewSharedSource returns the link of a source that counts as answering.
+// NewSharedSource returns a shared source that is taken to be available.
 func NewSharedSource(source Source) *SharedSource {
-	return &SharedSource{source: source, returned: make(chan struct{}), callsEnd: make(chan struct{})}
+	return &SharedSource{source: source, recovered: make(chan struct{}), endCalls: make(chan struct{})}
 }
 
-func newPauses() *backoff.ExponentialBackOff {
+func newBackOff() *backoff.ExponentialBackOff {
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval, pauses.MaxInterval = firstPause, maxPause
+	pauses.InitialInterval, pauses.MaxInterval = initialPause, maxPause
 	return pauses
 }
 
-// cancelAtReturn returns a context that ends with errReturned when the source is back after having been lost.
-func (l *SharedSource) cancelAtReturn(parent context.Context) (context.Context, context.CancelFunc) {
-	l.mu.Lock()
-	callsEnd := l.callsEnd
-	l.mu.Unlock()
+// cancelOnRecovery returns a context that is cancelled with errRecovered when the source recovers from an outage.
+func (s *SharedSource) cancelOnRecovery(parent context.Context) (context.Context, context.CancelFunc) {
+	s.mu.Lock()
+	endCalls := s.endCalls
+	s.mu.Unlock()
 	ctx, cancel := context.WithCancelCause(parent)
 	go func() {
 		select {
-		case <-callsEnd:
-			cancel(errReturned)
+		case <-endCalls:
+			cancel(errRecovered)
 		case <-ctx.Done():
 		}
 	}()
 	return ctx, func() { cancel(nil) }
 }
 
-// await returns when the source answers again, or ctx ends. It waits for pause at least. The error is errReturned where
-// another watcher's question was answered.
-func (l *SharedSource) await(ctx context.Context, prefixes []string, version uint64, pause time.Duration) (objectapi.Batch, error) {
+// awaitRecovery waits for at least pause and until the source answers again or ctx ends. It returns the result of the
+// caller's own probe, or errRecovered if another watcher's probe was answered.
+func (s *SharedSource) awaitRecovery(ctx context.Context, prefixes []string, version uint64, pause time.Duration) (objectapi.Batch, error) {
 	if err := wait.For(ctx, pause); err != nil {
 		return objectapi.Batch{}, err
 	}
-	q := &question{prefixes, version, make(chan answer, 1)}
-	l.mu.Lock()
-	l.lost = append(l.lost, q)
-	first, returned := len(l.lost) == 1, l.returned
-	l.mu.Unlock()
+	probe := &pendingProbe{prefixes, version, make(chan probeResult, 1)}
+	s.mu.Lock()
+	s.waiting = append(s.waiting, probe)
+	first, recovered := len(s.waiting) == 1, s.recovered
+	s.mu.Unlock()
 	if first {
-		l.probe(ctx)
+		s.probeUntilAnswer(ctx)
 	}
 	select {
-	case <-returned:
+	case <-recovered:
 	case <-ctx.Done():
 	}
 	select {
-	case a := <-q.answer:
+	case a := <-probe.answer:
 		return a.batch, a.err
 	default:
-		return objectapi.Batch{}, errReturned
+		return objectapi.Batch{}, errRecovered
 	}
 }
 
-// probe asks again and again, and tells every watcher when there is an answer, or when ctx ends.
-func (l *SharedSource) probe(ctx context.Context) {
-	defer l.tellReturned()
+// probeUntilAnswer sends the probes of all waiting watchers in turn. It wakes the watchers at the first answer, or when
+// ctx ends.
+func (s *SharedSource) probeUntilAnswer(ctx context.Context) {
+	defer s.notifyRecovered()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answered := make(chan struct{}, 1)
-	pauses := newPauses()
+	pauses := newBackOff()
 	for ctx.Err() == nil {
-		go l.ask(ctx, l.next(), answered)
+		go s.probeOnce(ctx, s.nextProbe(), answered)
 		timer := time.NewTimer(pauses.NextBackOff())
 		select {
 		case <-answered:
@@ -132,43 +133,44 @@
 	}
 }
 
-// ask puts one question. That the history is gone is an answer too.
-func (l *SharedSource) ask(ctx context.Context, q *question, answered chan<- struct{}) {
+// probeOnce sends one probe. ErrGone counts as an answer.
+func (s *SharedSource) probeOnce(ctx context.Context, probe *pendingProbe, answered chan<- struct{}) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	batch, err := l.source.Wait(ctx, q.prefixes, q.version, 0)
+	batch, err := s.source.Wait(ctx, probe.prefixes, probe.version, 0)
 	if err != nil && !errors.Is(err, objectapi.ErrGone) {
-		return // the watchers that wait have logged the loss
+		return // the waiting watchers have logged the outage
 	}
 	select {
-	case q.answer <- answer{batch, err}:
-	default: // it was answered before
+	case probe.answer <- probeResult{batch, err}:
+	default: // already answered
 	}
 	select {
 	case answered <- struct{}{}:
-	default: // another question was answered first
+	default: // another probe was answered first
 	}
 }
 
-// next returns the question whose turn it is.
-func (l *SharedSource) next() *question {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	q := l.lost[0]
-	l.lost = append(l.lost[1:], q)
-	return q
+// nextProbe returns the first waiting probe and moves it to the end.
+func (s *SharedSource) nextProbe() *pendingProbe {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	probe := s.waiting[0]
+	s.waiting = append(s.waiting[1:], probe)
+	return probe
 }
 
-func (l *SharedSource) tellReturned() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lost = nil
-	close(l.returned)
-	l.returned = make(chan struct{})
-	if time.Since(l.callsEnded) < endPause {
+// notifyRecovered wakes all waiting watchers and cancels the pending polls of the others.
+func (s *SharedSource) notifyRecovered() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.waiting = nil
+	close(s.recovered)
+	s.recovered = make(chan struct{})
+	if time.Since(s.callsEndedAt) < minCallsEndInterval {
 		return
 	}
-	l.callsEnded = time.Now()
-	close(l.callsEnd)
-	l.callsEnd = make(chan struct{})
+	s.callsEndedAt = time.Now()
+	close(s.endCalls)
+	s.endCalls = make(chan struct{})
 }
--- a/internal/objects/watch/watch.go
+++ b/internal/objects/watch/watch.go
@@ -1,4 +1,4 @@
-// Package watch keeps copies of object API prefixes up to date with one waiting call.
+// Package watch keeps copies of object API prefixes up to date by long polling.
 package watch
 
 import (
@@ -14,198 +14,194 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// Handler receives the objects below one prefix. Calls come one at a time, from one goroutine.
+// Handler receives the objects below one prefix. Its methods are called one at a time, from one goroutine.
 type Handler interface {
 	// Prefix returns the watched prefix.
 	Prefix() string
-	// Reset replaces all objects by a list as of version. It is certain once Confirm follows; after a list that may be
-	// old, Lost follows.
+	// Reset replaces all objects by a list as of version. Confirm follows if the list is current, SourceUnavailable if
+	// it may be stale.
 	Reset(objects []objectapi.Object, version uint64)
 	// Change applies one change.
 	Change(event objectapi.Event)
-	// Confirm tells that every change up to version has been seen, as the API said at a time. It is called after each
-	// answer, also when nothing changed.
+	// Confirm reports that all changes up to version have been delivered, as of the given time. It follows every
+	// response, also one without changes.
 	Confirm(version uint64, at time.Time)
-	// SourceUnavailable tells that the API stopped answering; the next call is Confirm or Reset.
+	// SourceUnavailable reports that the source stopped answering. The next call is Confirm or Reset.
 	SourceUnavailable()
 }
 
-// WatermarkHandler is a Handler that also wants to know up to when its copy certainly holds every change.
+// WatermarkHandler is a Handler that is also told the watermark of its copy.
 type WatermarkHandler interface {
 	Handler
-	// Watermark tells that every change made before a time has been seen. It follows Confirm.
+	// Watermark reports that every change made before a time has been delivered. It follows Confirm.
 	Watermark(at time.Time)
 }
 
-// Source answers lists and watches: the object API, or what stands in for it.
+// Source answers lists and long polls: the object API or a replacement for it.
 type Source interface {
 	List(ctx context.Context, prefix string) (objectapi.Snapshot, error)
 	Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error)
 }
 
-// waitTime is how long one call waits for a change, unless WithWait says otherwise. It bounds how late a
-// lost connection is noticed.
-const waitTime = 5 * time.Second
+// defaultPollTimeout limits one long poll and so how late a lost connection is noticed.
+const defaultPollTimeout = 5 * time.Second
 
-// answerMargin is how much longer than waitTime an answer may take. A slow platform answers within 0.3 s; a
-// connection that went silent is noticed only by this.
-const answerMargin = time.Second
+// responseMargin is added to the poll timeout for the response to arrive.
+const responseMargin = time.Second
 
-// listTimeout bounds the lists of all prefixes: 3,000 servers are six pages, of 0.4 s each while the platform is slow.
-// Sources bound a silent call themselves.
+// listTimeout limits the lists of all prefixes together. It allows for 3,000 servers in six pages from a slow platform.
 const listTimeout = 5 * time.Second
 
-// outageMargin is by how much a missed outage ended after the last word here at least. Ages of two answers differ by the
-// ways that they took; the last word is of before the outage, so only one shorter than this is passed over.
+// outageMargin is the least time between the last confirmation and the end of an outage for the outage to count as
+// missed. It covers the difference between the delays of two responses.
 const outageMargin = 500 * time.Millisecond
 
-// neverConfirmed is the age of a watch that nobody has confirmed yet.
+// neverConfirmed is the age of a watch that has not been confirmed yet.
 const neverConfirmed = -time.Second
 
-// errStale means that a list holds what was known last: it is passed on, but the source is still away.
-var errStale = errors.New("only an old copy is known")
+// errStale means that a list returned last known content while the API is unavailable.
+var errStale = errors.New("source returned a stale list")
 
-// Watcher feeds handlers. Use New, then Run.
+// Watcher delivers the changes of a source to handlers. Use New, then Run.
 type Watcher struct {
-	link     *SharedSource
-	handlers []Handler
-	pace     time.Duration
-	waitTime time.Duration
-	version  uint64
-	calls    atomic.Int64
-	// confirmed is when the API said last that nothing else had changed; nil before that.
-	confirmed atomic.Pointer[time.Time]
-	log       logrus.FieldLogger
-	// listed tells that the handlers have a list to which changes can be applied.
+	shared      *SharedSource
+	handlers    []Handler
+	minInterval time.Duration
+	pollTimeout time.Duration
+	version     uint64
+	calls       atomic.Int64
+	// confirmedAt is the time of the API's last confirmation; nil before the first one.
+	confirmedAt atomic.Pointer[time.Time]
+	log         logrus.FieldLogger
+	// listed reports that the handlers hold a list to which changes can be applied.
 	listed bool
-	// lostAt is when the source failed first; zero while it answers.
-	lostAt time.Time
+	// failedSince is the time of the first failure of an outage; zero while the source answers.
+	failedSince time.Time
 }
 
-// New returns a watcher of the handlers' prefixes over a link, which it may share with others. pace is the least time
-// between two calls to the API: the first change after a quiet time is seen at once, while a stream of changes costs
-// one call for each pace.
-func New(link *SharedSource, pace time.Duration, handlers ...Handler) *Watcher {
-	return &Watcher{link: link, pace: pace, waitTime: waitTime, handlers: handlers, log: discard()}
+// New returns a watcher of the handlers' prefixes. minInterval is the least time between two requests: the first change
+// after a quiet period is delivered at once, and a stream of changes costs one request per interval.
+func New(source *SharedSource, minInterval time.Duration, handlers ...Handler) *Watcher {
+	return &Watcher{shared: source, minInterval: minInterval, pollTimeout: defaultPollTimeout, handlers: handlers, log: discardLogger()}
 }
 
-func discard() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// WithLog makes the watcher log when its source stops answering and when it answers again, and returns it.
+// WithLog sets the logger of outages and recoveries of the source, and returns the watcher.
 func (w *Watcher) WithLog(log logrus.FieldLogger) *Watcher {
 	w.log = log
 	return w
 }
 
-// WithPollTimeout sets how long one call waits for a change, and returns the watcher.
+// WithPollTimeout sets how long one poll waits for a change, and returns the watcher.
 func (w *Watcher) WithPollTimeout(d time.Duration) *Watcher {
-	w.waitTime = d
+	w.pollTimeout = d
 	return w
 }
 
-// Age returns how long ago the API last confirmed what the handlers know, or a negative time before the first time. An
-// idle watch is up to its wait old, and as much older as what it reads through.
+// Age returns the time since the API last confirmed the handlers' content, or a negative value before the first
+// confirmation. The age of an idle watch grows up to the poll timeout, plus the age of the source's own copy.
 func (w *Watcher) Age() time.Duration {
-	confirmed := w.confirmed.Load()
+	confirmed := w.confirmedAt.Load()
 	if confirmed == nil {
 		return neverConfirmed
 	}
-	return time.Since(*confirmed) // by the steady clock: the time of day may jump
+	return time.Since(*confirmed)
 }
 
-// Calls returns how many calls to the API the watcher has made.
+// Calls returns the number of requests sent to the source.
 func (w *Watcher) Calls() int64 { return w.calls.Load() }
 
-// Run watches until ctx ends.
+// Run watches until ctx ends and returns its error.
 func (w *Watcher) Run(ctx context.Context) error {
-	pauses := newPauses()
-	limit := w.waitTime
+	pauses := newBackOff()
+	limit := w.pollTimeout
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := w.step(ctx, limit)
-		limit = w.waitTime
-		if err != nil && ctx.Err() == nil && !errors.Is(err, objectapi.ErrGone) && !errors.Is(err, errReturned) {
-			began, err = w.regain(ctx, err, pauses.NextBackOff())
+		err := w.callSource(ctx, limit)
+		limit = w.pollTimeout
+		if err != nil && ctx.Err() == nil && !errors.Is(err, objectapi.ErrGone) && !errors.Is(err, errRecovered) {
+			began, err = w.awaitSource(ctx, err, pauses.NextBackOff())
 		}
 		switch {
 		case err == nil:
 			pauses.Reset()
-			w.noteAnswer(began)
-			_ = wait.For(ctx, w.pace-time.Since(began))
-		case ctx.Err() != nil: // the watch ends; its source has not failed
+			w.logRecovery(began)
+			_ = wait.For(ctx, w.minInterval-time.Since(began))
+		case ctx.Err() != nil: // the watch ends; the source has not failed
 		case errors.Is(err, objectapi.ErrGone):
 			w.listed = false
-		default: // the source is back: what there is now comes first
+		default: // the source has recovered: fetch its current content at once
 			limit = 0
 		}
 	}
 	return ctx.Err()
 }
 
-// regain notes that the source does not answer, waits until it does, and takes over what it says then. It returns when
-// that was, and an error where the watch must ask for itself.
-func (w *Watcher) regain(ctx context.Context, lost error, pause time.Duration) (time.Time, error) {
-	w.fail(lost)
+// awaitSource reports an outage, waits until the source answers and applies that answer. It returns the time of the
+// answer, and an error if the watcher must send a request of its own.
+func (w *Watcher) awaitSource(ctx context.Context, cause error, pause time.Duration) (time.Time, error) {
+	w.notifyUnavailable(cause)
 	if !w.listed {
-		// Not with the link, which waits for a certain answer: a list may also be an old copy, from a daemon that has
-		// just started. After a loss of power everywhere fronts start before those, and refused all until the store was back.
+		// SharedSource waits for a current answer. A list may also be served from a stale copy by a daemon that has just
+		// started, so keep listing.
 		_ = wait.For(ctx, pause)
-		return time.Now(), errReturned
+		return time.Now(), errRecovered
 	}
-	batch, err := w.link.await(ctx, w.prefixes(), w.version, pause)
+	batch, err := w.shared.awaitRecovery(ctx, w.prefixes(), w.version, pause)
 	if err == nil {
-		w.take(batch)
+		w.apply(batch)
 	}
 	return time.Now(), err
 }
 
-// step makes one call, or one for each list. It ends with errReturned where the source was lost and is back
-// meanwhile: a call from before then may never be answered.
-func (w *Watcher) step(ctx context.Context, limit time.Duration) error {
-	ctx, cancel := w.link.cancelAtReturn(ctx)
+// callSource polls once, or lists all prefixes. It returns errRecovered if the source recovered from an outage
+// meanwhile, since a request sent before that may never be answered.
+func (w *Watcher) callSource(ctx context.Context, limit time.Duration) error {
+	ctx, cancel := w.shared.cancelOnRecovery(ctx)
 	defer cancel()
 	var err error
 	if w.listed {
-		err = w.wait(ctx, limit)
+		err = w.poll(ctx, limit)
 	} else {
-		err = w.list(ctx)
+		err = w.listAll(ctx)
 	}
-	if cause := context.Cause(ctx); err != nil && errors.Is(cause, errReturned) {
+	if cause := context.Cause(ctx); err != nil && errors.Is(cause, errRecovered) {
 		return cause
 	}
 	return err
 }
 
-// fail tells the handlers and the log that the source does not answer.
-func (w *Watcher) fail(err error) {
+// notifyUnavailable reports the outage to the handlers and to the log.
+func (w *Watcher) notifyUnavailable(err error) {
 	for _, handler := range w.handlers {
 		handler.SourceUnavailable()
 	}
-	w.noteFailure(err)
+	w.logFailure(err)
 }
 
-// noteFailure logs the first failure of an outage.
-func (w *Watcher) noteFailure(err error) {
-	if !w.lostAt.IsZero() {
+// logFailure logs the first failure of an outage.
+func (w *Watcher) logFailure(err error) {
+	if !w.failedSince.IsZero() {
 		return
 	}
-	w.lostAt = time.Now()
+	w.failedSince = time.Now()
 	w.log.WithFields(logrus.Fields{"event": "watch-lost", "prefix": w.prefixes(), "version": w.version, "age_ms": w.Age().Milliseconds(),
 		"error": err}).Warn("source no longer answers")
 }
 
-// noteAnswer logs the end of an outage; callBegan is when the answered call was sent.
-func (w *Watcher) noteAnswer(callBegan time.Time) {
-	if w.lostAt.IsZero() {
+// logRecovery logs the end of an outage. callBegan is the time at which the answered request was sent.
+func (w *Watcher) logRecovery(callBegan time.Time) {
+	if w.failedSince.IsZero() {
 		return
 	}
 	w.log.WithFields(logrus.Fields{"event": "watch-regained", "prefix": w.prefixes(), "version": w.version,
-		"outage_ms": time.Since(w.lostAt).Milliseconds(), "call_ms": time.Since(callBegan).Milliseconds()}).Info("source answers again")
-	w.lostAt = time.Time{}
+		"outage_ms": time.Since(w.failedSince).Milliseconds(), "call_ms": time.Since(callBegan).Milliseconds()}).Info("source answers again")
+	w.failedSince = time.Time{}
 }
 
 func (w *Watcher) prefixes() []string {
@@ -216,15 +212,15 @@
 	return prefixes
 }
 
-// list reads every prefix. The watch goes on from the oldest of the lists, so nothing between them is
-// missed; handlers see some changes twice.
-func (w *Watcher) list(ctx context.Context) error {
+// listAll lists every prefix. Polling continues from the oldest of the lists, so that no change between them is missed;
+// handlers see some changes twice.
+func (w *Watcher) listAll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	snapshots := make([]objectapi.Snapshot, len(w.handlers))
 	for i, handler := range w.handlers {
 		w.calls.Add(1)
-		snapshot, err := w.link.source.List(ctx, handler.Prefix())
+		snapshot, err := w.shared.source.List(ctx, handler.Prefix())
 		if err != nil {
 			return err
 		}
@@ -232,7 +228,7 @@
 	}
 	oldest, stale, age := snapshots[0].Version, false, w.Age()
 	for i, handler := range w.handlers {
-		if missed(snapshots[i].SinceOutage, age) {
+		if missedOutage(snapshots[i].SinceOutage, age) {
 			handler.SourceUnavailable()
 		}
 		handler.Reset(snapshots[i].Objects, snapshots[i].Version)
@@ -249,31 +245,31 @@
 	return nil
 }
 
-// wait asks for changes, and waits up to limit for one. A limit of 0 asks whether there is one now: after an outage the
-// answer itself is news, and must not wait for a change.
-func (w *Watcher) wait(ctx context.Context, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, limit+answerMargin)
+// poll requests changes and waits up to limit for one. A limit of 0 returns at once, which confirms that the source
+// answers after an outage.
+func (w *Watcher) poll(ctx context.Context, limit time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, limit+responseMargin)
 	defer cancel()
 	w.calls.Add(1)
-	batch, err := w.link.source.Wait(ctx, w.prefixes(), w.version, limit)
+	batch, err := w.shared.source.Wait(ctx, w.prefixes(), w.version, limit)
 	if err != nil {
 		return err
 	}
-	w.take(batch)
+	w.apply(batch)
 	return nil
 }
 
-// missed tells whether an outage that ended sinceOutage ago ended after the API's last word here, of age ago: the watcher has not
-// noticed it, since it read through a source that knew old content meanwhile, and then through one that was first to have
-// the API's word again. Handlers must know of it all the same: entries lapse in an outage though their owners live, and one
-// run in six of a silent outage of 2.9 s refused 39 lookups for want of a server.
-func missed(sinceOutage, age time.Duration) bool {
+// missedOutage reports whether an outage that ended sinceOutage ago ended after the last confirmation, which is age old,
+// and so went unnoticed here. That happens to a watcher that reads through a mirror with old content and then through
+// another one that reconnected first. Handlers must learn of it, since leases expire during an outage although their
+// owners live.
+func missedOutage(sinceOutage, age time.Duration) bool {
 	return sinceOutage > 0 && age > sinceOutage+outageMargin
 }
 
-// take hands changes on.
-func (w *Watcher) take(batch objectapi.Batch) {
-	if missed(batch.SinceOutage, w.Age()) {
+// apply delivers a batch to the handlers.
+func (w *Watcher) apply(batch objectapi.Batch) {
+	if missedOutage(batch.SinceOutage, w.Age()) {
 		for _, handler := range w.handlers {
 			handler.SourceUnavailable()
 		}
@@ -294,12 +290,12 @@
 	w.confirm(handler, batch.Version, batch.Age, batch.Certain)
 }
 
-// confirm tells a handler, and those who ask for the watch's age, how old the API's word is.
-func (w *Watcher) confirm(handler Handler, version uint64, age time.Duration, certain time.Time) {
+// confirm records the API's confirmation and passes it, and the watermark if known, to the handler.
+func (w *Watcher) confirm(handler Handler, version uint64, age time.Duration, watermark time.Time) {
 	at := time.Now().Add(-age)
-	w.confirmed.Store(&at)
+	w.confirmedAt.Store(&at)
 	handler.Confirm(version, at)
-	if h, ok := handler.(WatermarkHandler); ok && !certain.IsZero() {
-		h.Watermark(certain)
+	if h, ok := handler.(WatermarkHandler); ok && !watermark.IsZero() {
+		h.Watermark(watermark)
 	}
 }
--- a/internal/objects/watch/watch_test.go
+++ b/internal/objects/watch/watch_test.go
@@ -18,25 +18,25 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// copied is a handler that keeps a copy.
-type copied struct {
-	prefix  string // "a/" where empty
+// recordingHandler is a handler that keeps a copy.
+type recordingHandler struct {
+	prefix  string // "a/" if empty
 	objects map[string]uint64
 	version uint64
 	at      time.Time
 	lost    int
 }
 
-func (c *copied) Prefix() string { return cmp.Or(c.prefix, "a/") }
+func (c *recordingHandler) Prefix() string { return cmp.Or(c.prefix, "a/") }
 
-func (c *copied) Reset(objects []objectapi.Object, _ uint64) {
+func (c *recordingHandler) Reset(objects []objectapi.Object, _ uint64) {
 	c.objects = map[string]uint64{}
 	for _, object := range objects {
 		c.objects[object.Key] = object.Version
 	}
 }
 
-func (c *copied) Change(event objectapi.Event) {
+func (c *recordingHandler) Change(event objectapi.Event) {
 	if event.Deleted {
 		delete(c.objects, event.Key)
 		return
@@ -44,8 +44,8 @@
 	c.objects[event.Key] = event.Version
 }
 
-func (c *copied) Confirm(version uint64, at time.Time) { c.version, c.at = version, at }
-func (c *copied) SourceUnavailable()                   { c.lost++ }
+func (c *recordingHandler) Confirm(version uint64, at time.Time) { c.version, c.at = version, at }
+func (c *recordingHandler) SourceUnavailable()                   { c.lost++ }
 
 func TestWatchCatchesUp(t *testing.T) {
 	for _, row := range []struct {
@@ -62,7 +62,7 @@
 			testbubble.Run(t, func(t *testing.T) {
 				store := memapi.New()
 				api := apitest.New(store)
-				c := &copied{}
+				c := &recordingHandler{}
 				stop := run(t, watch.New(watch.NewSharedSource(api), 100*time.Millisecond, c))
 				first, err := store.Put(t.Context(), "a/1", nil, objectapi.MustNotExist)
 				assert.NilError(t, err)
@@ -84,11 +84,12 @@
 	}
 }
 
-// TestOutageIsLoggedOnce: one line when the source is lost, one when it answers again, none when the watch ends.
+// TestOutageIsLoggedOnce checks that an outage logs one line at its start and one at its end, and that stopping the
+// watcher logs none.
 func TestOutageIsLoggedOnce(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		api := apitest.New(memapi.New())
-		c := &copied{}
+		c := &recordingHandler{}
 		log, lines := logtest.NewNullLogger()
 		w := watch.New(watch.NewSharedSource(api), 100*time.Millisecond, c).WithLog(log)
 		assert.Assert(t, w.Age() < 0)
@@ -115,7 +116,7 @@
 func TestWatchIsPaced(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		store := memapi.New()
-		c := &copied{}
+		c := &recordingHandler{}
 		w := watch.New(watch.NewSharedSource(store), 100*time.Millisecond, c)
 		stop := run(t, w)
 		<-time.After(2 * time.Second)
@@ -132,14 +133,14 @@
 	})
 }
 
-// TestReturnIsNoticedSoon: however long the outage was, and whether the source refuses or is silent.
-func TestReturnIsNoticedSoon(t *testing.T) {
+// TestRecoveryIsNoticedSoon checks that the end of an outage is noticed within 400 ms, whatever its length and kind.
+func TestRecoveryIsNoticedSoon(t *testing.T) {
 	for name, fault := range map[string]apitest.Fault{"refuses": apitest.Down, "is silent": apitest.Hang} {
 		for _, length := range []time.Duration{time.Second, 5 * time.Second, time.Minute, 20 * time.Minute} {
 			t.Run(fmt.Sprint(name, "/", length), func(t *testing.T) {
 				testbubble.Run(t, func(t *testing.T) {
 					api := apitest.New(memapi.New())
-					c := &copied{}
+					c := &recordingHandler{}
 					stop := run(t, watch.New(watch.NewSharedSource(api), 0, c))
 					defer stop()
 					for range 5 {
@@ -159,29 +160,29 @@
 	}
 }
 
-// swallowed is a source that never answers calls that were under way in a time of silence.
-type swallowed struct {
+// blackholeSource never answers calls that were pending while it was silent.
+type blackholeSource struct {
 	*apitest.API
-	broken   string // lists of this prefix fail, and watches if mute
+	broken   string // lists of this prefix fail, and watches too if mute is set
 	mute     bool
 	waits    atomic.Int64
 	silent   atomic.Bool
 	silences atomic.Int64
 }
 
-func (s *swallowed) fallSilent() {
+func (s *blackholeSource) fallSilent() {
 	s.silences.Add(1)
 	s.silent.Store(true)
 }
 
-func (s *swallowed) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
+func (s *blackholeSource) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	if prefix == s.broken {
 		return objectapi.Snapshot{}, objectapi.ErrUnavailable
 	}
 	return s.API.List(ctx, prefix)
 }
 
-func (s *swallowed) Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error) {
+func (s *blackholeSource) Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error) {
 	s.waits.Add(1)
 	if s.mute && prefixes[0] == s.broken {
 		return objectapi.Batch{}, objectapi.ErrUnavailable
@@ -195,14 +196,14 @@
 	return batch, err
 }
 
-// TestReturnEndsLongWatches: a watch that waits long was swallowed by a silent source; it learns of the return from
-// the one that waits for a short time.
-func TestReturnEndsLongWatches(t *testing.T) {
+// TestRecoveryEndsLongPolls guards against a long poll that is lost in an outage and delays its watcher: the recovery
+// noticed by another watcher of the same source must end it.
+func TestRecoveryEndsLongPolls(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		store := memapi.New()
-		api := &swallowed{API: apitest.New(store)}
+		api := &blackholeSource{API: apitest.New(store)}
 		link := watch.NewSharedSource(api)
-		quick, slow := &copied{}, &copied{prefix: "b/"}
+		quick, slow := &recordingHandler{}, &recordingHandler{prefix: "b/"}
 		defer run(t, watch.New(link, 0, quick).WithPollTimeout(time.Second))()
 		defer run(t, watch.New(link, 0, slow).WithPollTimeout(time.Hour))()
 		<-time.After(time.Second)
@@ -218,13 +219,13 @@
 	})
 }
 
-// TestOutageCostsTheCallsOfOneWatcher: however many watch, about 5 calls a second.
-func TestOutageCostsTheCallsOfOneWatcher(t *testing.T) {
+// TestOutageProbesDoNotMultiply checks that the probe rate during an outage does not grow with the number of watchers.
+func TestOutageProbesDoNotMultiply(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
-		api := &swallowed{API: apitest.New(memapi.New())}
+		api := &blackholeSource{API: apitest.New(memapi.New())}
 		link := watch.NewSharedSource(api)
 		for i := range 6 {
-			defer run(t, watch.New(link, 0, &copied{prefix: fmt.Sprint("p", i, "/")}).WithPollTimeout(time.Second))()
+			defer run(t, watch.New(link, 0, &recordingHandler{prefix: fmt.Sprint("p", i, "/")}).WithPollTimeout(time.Second))()
 		}
 		<-time.After(time.Second)
 		api.SetFault(apitest.Down)
@@ -236,22 +237,22 @@
 	})
 }
 
-// TestBrokenPrefixHoldsNobodyUp: one prefix can't be listed at all; the others' outages end all the same, and they pay
-// little for it.
-func TestBrokenPrefixHoldsNobodyUp(t *testing.T) {
+// TestBrokenPrefixDoesNotDelayOthers checks that a prefix that can't be listed neither delays the recovery of other
+// watchers nor multiplies their calls.
+func TestBrokenPrefixDoesNotDelayOthers(t *testing.T) {
 	for _, mute := range []bool{false, true} {
-		t.Run(fmt.Sprint("watches fail too: ", mute), func(t *testing.T) { playBrokenPrefix(t, mute) })
+		t.Run(fmt.Sprint("watches fail too: ", mute), func(t *testing.T) { testBrokenPrefix(t, mute) })
 	}
 }
 
-func playBrokenPrefix(t *testing.T, mute bool) {
+func testBrokenPrefix(t *testing.T, mute bool) {
 	testbubble.Run(t, func(t *testing.T) {
 		store := memapi.New()
-		api := &swallowed{API: apitest.New(store), broken: "b/", mute: mute}
+		api := &blackholeSource{API: apitest.New(store), broken: "b/", mute: mute}
 		link := watch.NewSharedSource(api)
-		c := &copied{}
+		c := &recordingHandler{}
 		healthy := watch.New(link, 0, c)
-		defer run(t, watch.New(link, 0, &copied{prefix: "b/"}))()
+		defer run(t, watch.New(link, 0, &recordingHandler{prefix: "b/"}))()
 		defer run(t, healthy)()
 		<-time.After(time.Second)
 		api.SetFault(apitest.Down)
@@ -268,13 +269,13 @@
 	})
 }
 
-// old is a source that first has an old copy only.
-type old struct {
+// staleSource returns a stale copy while its API is unavailable.
+type staleSource struct {
 	*apitest.API
 	copy objectapi.Snapshot
 }
 
-func (o *old) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
+func (o *staleSource) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	snapshot, err := o.API.List(ctx, prefix)
 	if err != nil {
 		return o.copy, nil
@@ -282,15 +283,15 @@
 	return snapshot, nil
 }
 
-// TestOldCopyIsNotConfirmed: it is handed on, and counts as lost until the source answers.
-func TestOldCopyIsNotConfirmed(t *testing.T) {
+// TestStaleListIsNotConfirmed checks that a stale list is delivered but counts as an outage until the source answers.
+func TestStaleListIsNotConfirmed(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		store := memapi.New()
 		object, err := store.Put(t.Context(), "a/1", nil, objectapi.MustNotExist)
 		assert.NilError(t, err)
-		api := &old{apitest.New(store), objectapi.Snapshot{Objects: []objectapi.Object{object}, Version: object.Version, Stale: true}}
+		api := &staleSource{apitest.New(store), objectapi.Snapshot{Objects: []objectapi.Object{object}, Version: object.Version, Stale: true}}
 		api.SetFault(apitest.Down)
-		c := &copied{}
+		c := &recordingHandler{}
 		w := watch.New(watch.NewSharedSource(api), 0, c)
 		defer run(t, w)()
 		<-time.After(3 * time.Second)
@@ -305,7 +306,7 @@
 	})
 }
 
-// run runs a watcher until the returned function is called.
+// run starts a watcher and returns a function that stops it.
 func run(t *testing.T, w *watch.Watcher) func() {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -319,16 +320,16 @@
 	}
 }
 
-// told is a source that reads through others, which tell of an outage.
-type told struct{ sinceOutage atomic.Int64 }
+// outageSource reports a configurable time since an outage.
+type outageSource struct{ sinceOutage atomic.Int64 }
 
-func (s *told) outage() time.Duration { return time.Duration(s.sinceOutage.Load()) }
+func (s *outageSource) outage() time.Duration { return time.Duration(s.sinceOutage.Load()) }
 
-func (s *told) List(context.Context, string) (objectapi.Snapshot, error) {
+func (s *outageSource) List(context.Context, string) (objectapi.Snapshot, error) {
 	return objectapi.Snapshot{Version: 1, SinceOutage: s.outage()}, nil
 }
 
-func (s *told) Wait(ctx context.Context, _ []string, _ uint64, d time.Duration) (objectapi.Batch, error) {
+func (s *outageSource) Wait(ctx context.Context, _ []string, _ uint64, d time.Duration) (objectapi.Batch, error) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
@@ -337,22 +338,22 @@
 	return objectapi.Batch{Version: 1, SinceOutage: s.outage()}, nil
 }
 
-// TestUnnoticedOutageIsToldToHandlers: the watch never failed, but its source had lost the API between two answers.
-func TestUnnoticedOutageIsToldToHandlers(t *testing.T) {
+// TestUnnoticedOutageIsReported checks that handlers learn of an outage between two successful answers.
+func TestUnnoticedOutageIsReported(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
-		source := &told{}
+		source := &outageSource{}
 		source.sinceOutage.Store(int64(time.Minute))
-		c, other := &copied{}, &copied{prefix: "b/"}
+		c, other := &recordingHandler{}, &recordingHandler{prefix: "b/"}
 		stop := run(t, watch.New(watch.NewSharedSource(source), 100*time.Millisecond, c, other).WithPollTimeout(time.Second))
 		defer stop()
 		time.Sleep(3500 * time.Millisecond)
-		assert.Equal(t, c.lost, 0, "it ended before the watch began")
+		assert.Equal(t, c.lost, 0, "the outage ended before the watch began")
 		source.sinceOutage.Store(int64(100 * time.Millisecond))
 		time.Sleep(time.Second)
 		assert.Equal(t, c.lost, 1)
 		assert.Equal(t, other.lost, 1)
 		source.sinceOutage.Store(int64(1100 * time.Millisecond))
 		time.Sleep(time.Second)
-		assert.Equal(t, c.lost, 1, "the same outage")
+		assert.Equal(t, c.lost, 1, "the same outage is reported once")
 	})
 }
