--- a/internal/objects/mirror/encode.go
+++ b/internal/objects/mirror/encode.go
@@ -9,36 +9,36 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// maxListBytes bounds an unpacked list: some ten thousand servers' entries.
-const maxListBytes = 64 << 20
+// maxSnapshotBytes limits a decoded snapshot. It allows for tens of thousands of servers.
+const maxSnapshotBytes = 64 << 20
 
-// packed is a list as it travels, made once for each version of the copy.
-type packed struct {
+// encodedSnapshot is the cached encoding of one version of the copy.
+type encodedSnapshot struct {
 	version uint64
 	data    []byte
 }
 
-// EncodedSnapshot returns the copy as it was when the API answered last, packed for the way; nothing where there is none. It is
-// shared: nobody may change it.
+// EncodedSnapshot returns the last known copy, gob-encoded and compressed, or nil if there is none. The result is cached
+// per version and must not be modified.
 func (m *Mirror) EncodedSnapshot() ([]byte, error) {
-	m.packing.Lock() // apart from mu, so that watches go on meanwhile
-	defer m.packing.Unlock()
+	m.encodeMu.Lock() // not mu, so that watches continue meanwhile
+	defer m.encodeMu.Unlock()
 	snapshot, known := m.LastKnown()
 	if !known {
 		return nil, nil
 	}
-	if m.packed.data != nil && m.packed.version == snapshot.Version {
-		return m.packed.data, nil
+	if m.encoded.data != nil && m.encoded.version == snapshot.Version {
+		return m.encoded.data, nil
 	}
-	data, err := pack(snapshot)
+	data, err := encode(snapshot)
 	if err != nil {
 		return nil, err
 	}
-	m.packed = packed{snapshot.Version, data}
+	m.encoded = encodedSnapshot{snapshot.Version, data}
 	return data, nil
 }
 
-func pack(snapshot objectapi.Snapshot) ([]byte, error) {
+func encode(snapshot objectapi.Snapshot) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
 	if err != nil {
@@ -53,10 +53,10 @@
 	return buffer.Bytes(), nil
 }
 
-// DecodeSnapshot returns the list that data holds.
+// DecodeSnapshot decodes the result of EncodedSnapshot.
 func DecodeSnapshot(data []byte) (objectapi.Snapshot, error) {
 	var snapshot objectapi.Snapshot
-	reader := io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxListBytes)
+	reader := io.LimitReader(flate.NewReader(bytes.NewReader(data)), maxSnapshotBytes)
 	err := gob.NewDecoder(reader).Decode(&snapshot)
 	return snapshot, Error.Wrap(err)
 }
--- a/internal/objects/mirror/file.go
+++ b/internal/objects/mirror/file.go
@@ -19,11 +19,11 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("mirror")
 
-// savePause is the least time between two writes of the copy to the disk.
-const savePause = time.Second
+// saveInterval is the least time between two writes of the copy to disk.
+const saveInterval = time.Second
 
-// Load takes a copy over that Save wrote. It counts as stale: it serves only those who can learn nothing
-// newer. A file that is not there is no error.
+// Load restores a copy written by SavePeriodically. The copy counts as stale until the API confirms it. A missing file
+// is no error.
 func (m *Mirror) Load(path string) error {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -40,16 +40,17 @@
 	return nil
 }
 
-// SavePeriodically writes the copy to the disk whenever it has changed, until ctx ends.
+// SavePeriodically writes the copy to a file whenever it has changed, until ctx ends. Failed writes are logged and
+// retried.
 func (m *Mirror) SavePeriodically(ctx context.Context, path string, log logrus.FieldLogger) error {
-	saved := m.seen()
-	for wait.For(ctx, savePause) == nil {
-		if m.seen() == saved {
+	saved := m.currentVersion()
+	for wait.For(ctx, saveInterval) == nil {
+		if m.currentVersion() == saved {
 			continue
 		}
 		snapshot, _ := m.LastKnown()
-		if err := write(path, snapshot); err != nil {
-			log.WithFields(logrus.Fields{"event": "mirror-save-failed", "file": path, "error": err}).Warn("copy not saved")
+		if err := writeSnapshot(path, snapshot); err != nil {
+			log.WithFields(logrus.Fields{"event": "mirror-save-failed", "file": path, "error": err}).Warn("copy not saved to disk; retrying")
 			continue
 		}
 		saved = snapshot.Version
@@ -57,7 +58,7 @@
 	return ctx.Err()
 }
 
-func write(path string, snapshot objectapi.Snapshot) error {
+func writeSnapshot(path string, snapshot objectapi.Snapshot) error {
 	data, err := json.Marshal(snapshot)
 	if err != nil {
 		return Error.Wrap(err)
--- a/internal/objects/mirror/mirror.go
+++ b/internal/objects/mirror/mirror.go
@@ -1,5 +1,5 @@
-// Package mirror keeps a copy of an object API prefix and answers lists and watches from it, so that one
-// daemon's watch serves many.
+// Package mirror keeps a copy of an object API prefix and answers lists and watches from it, so that the watch of one
+// daemon serves many.
 package mirror
 
 import (
@@ -11,44 +11,43 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// leastHistory is how many past events a watch can resume over at least. Where there are many objects it is twice
-// their number: when all servers start, a reader must not list them again and again.
-const leastHistory = 1024
+// minHistory is the least number of past events that are kept for watches. With many objects it is twice their number,
+// so that readers need not list again while all servers start.
+const minHistory = 1024
 
-// Mirror is a watch.Handler that answers other daemons.
+// Mirror is a watch.Handler that serves its copy to other daemons.
 type Mirror struct {
 	prefix string
 	maxAge time.Duration
 
 	mu      sync.Mutex
 	objects map[string]objectapi.Object
-	events  []positioned
-	// trimmed is the version from which events are whole; version is how far the copy has come.
-	trimmed, version uint64
-	// confirmed is when the API last said that the copy was whole; zero before the first list and while the
-	// API does not answer.
-	confirmed time.Time
-	// certain is up to when the copy certainly holds every change; zero where that is not known.
-	certain time.Time
-	// lost tells that the API does not answer; regained is as of when it did again last, zero where it never failed.
-	lost     bool
-	regained time.Time
-	changed  chan struct{}
+	events  []versionedEvent
+	// trimmedVersion is the version from which events are complete; version is that of the copy.
+	trimmedVersion, version uint64
+	// confirmedAt is the time of the API's last confirmation; zero before the first one and during an outage.
+	confirmedAt time.Time
+	// watermark is the time before which every change is included in the copy; zero if unknown.
+	watermark time.Time
+	// unavailable reports an outage of the API. recoveredAt is the end of the last outage; zero if there was none.
+	unavailable bool
+	recoveredAt time.Time
+	changed     chan struct{}
 
-	// packing guards packed.
-	packing sync.Mutex
-	packed  packed
+	// encodeMu guards encoded.
+	encodeMu sync.Mutex
+	encoded  encodedSnapshot
 }
 
-// positioned is an event with the version from which on a reader has seen it. Deletions carry no version of
-// their own, so the version of the batch that brought them counts; 0 until the batch is confirmed.
-type positioned struct {
+// versionedEvent is an event with the version at which readers have seen it. Deletions carry no version of their own, so
+// it is the version of their batch; 0 until the batch is confirmed.
+type versionedEvent struct {
 	event   objectapi.Event
 	version uint64
 }
 
-// New returns an empty mirror of a prefix. It answers only while the API has confirmed its copy within
-// maxAge: a watch whose connection went silent, or a daemon that was paused, must not pass for up to date.
+// New returns an empty mirror of a prefix. It serves its copy only within maxAge of the API's last confirmation, so that
+// a silent connection or a paused daemon does not pass for up to date.
 func New(prefix string, maxAge time.Duration) *Mirror {
 	return &Mirror{prefix: prefix, maxAge: maxAge, objects: map[string]objectapi.Object{}, changed: make(chan struct{})}
 }
@@ -56,8 +55,8 @@
 // Prefix implements watch.Handler.
 func (m *Mirror) Prefix() string { return m.prefix }
 
-// Reset implements watch.Handler. A list that follows another one is taken in as the changes between the two, so
-// that readers need not list again because the API's history was lost.
+// Reset implements watch.Handler. A list that follows another one is applied as the changes between the two, so that
+// readers need not list again when the API's history was compacted.
 func (m *Mirror) Reset(objects []objectapi.Object, version uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +66,7 @@
 		for _, object := range objects {
 			m.objects[object.Key] = object
 		}
-		m.trimmed = version
+		m.trimmedVersion = version
 		m.advance(version)
 		return
 	}
@@ -75,12 +74,12 @@
 	for _, object := range objects {
 		listed[object.Key] = true
 		if old, known := m.objects[object.Key]; !known || old.Version != object.Version {
-			m.change(objectapi.Event{Object: object})
+			m.applyChange(objectapi.Event{Object: object})
 		}
 	}
 	for key, object := range m.objects {
 		if !listed[key] {
-			m.change(objectapi.Event{Object: object, Deleted: true})
+			m.applyChange(objectapi.Event{Object: object, Deleted: true})
 		}
 	}
 	m.advance(version)
@@ -90,40 +89,40 @@
 func (m *Mirror) Change(event objectapi.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.change(event)
+	m.applyChange(event)
 }
 
-// change is called with the lock held.
-func (m *Mirror) change(event objectapi.Event) {
+// applyChange updates the copy and its history. The caller holds mu.
+func (m *Mirror) applyChange(event objectapi.Event) {
 	if event.Deleted {
 		delete(m.objects, event.Key)
 	} else {
 		m.objects[event.Key] = event.Object
 	}
-	m.events = append(m.events, positioned{event: event})
+	m.events = append(m.events, versionedEvent{event: event})
 }
 
 // Confirm implements watch.Handler.
 func (m *Mirror) Confirm(version uint64, at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.lost || !m.confirmed.IsZero() && at.Sub(m.confirmed) > m.maxAge {
-		m.lost, m.regained = false, at
+	if m.unavailable || !m.confirmedAt.IsZero() && at.Sub(m.confirmedAt) > m.maxAge {
+		m.unavailable, m.recoveredAt = false, at
 	}
-	m.confirmed = at
+	m.confirmedAt = at
 	m.advance(version)
 }
 
-// Watermark implements watch.CertainHandler.
+// Watermark implements watch.WatermarkHandler.
 func (m *Mirror) Watermark(at time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if at.After(m.certain) {
-		m.certain = at
+	if at.After(m.watermark) {
+		m.watermark = at
 	}
 }
 
-// advance tells that every change up to version has come. It is called with the lock held.
+// advance records that every change up to version has arrived, and trims the history. The caller holds mu.
 func (m *Mirror) advance(version uint64) {
 	if version <= m.version {
 		return
@@ -131,68 +130,68 @@
 	for i := len(m.events) - 1; i >= 0 && m.events[i].version == 0; i-- {
 		m.events[i].version = version
 	}
-	if len(m.events) > max(leastHistory, 2*len(m.objects)) {
+	if len(m.events) > max(minHistory, 2*len(m.objects)) {
 		cut := len(m.events) / 2
-		m.trimmed = m.events[cut-1].version
+		m.trimmedVersion = m.events[cut-1].version
 		m.events = slices.Clone(m.events[cut:])
 	}
 	m.version = version
-	m.wake()
+	m.notifyWaiters()
 }
 
 // SourceUnavailable implements watch.Handler.
 func (m *Mirror) SourceUnavailable() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lost = true
-	m.confirmed = time.Time{}
-	m.wake()
+	m.unavailable = true
+	m.confirmedAt = time.Time{}
+	m.notifyWaiters()
 }
 
-// fresh tells whether the copy may be answered from. It is called with the lock held.
+// fresh reports whether the copy may be served as current. The caller holds mu.
 func (m *Mirror) fresh() bool {
-	return !m.confirmed.IsZero() && time.Since(m.confirmed) <= m.maxAge
+	return !m.confirmedAt.IsZero() && time.Since(m.confirmedAt) <= m.maxAge
 }
 
-// problem returns why the copy may not be answered from, or nil. It is called with the lock held.
-func (m *Mirror) problem() error {
+// checkFresh returns why the copy may not be served as current, or nil. The caller holds mu.
+func (m *Mirror) checkFresh() error {
 	switch {
 	case m.fresh():
 		return nil
-	case m.confirmed.IsZero() && !m.lost:
+	case m.confirmedAt.IsZero() && !m.unavailable:
 		return objectapi.ErrNotSynced
 	default:
 		return objectapi.ErrUnavailable
 	}
 }
 
-// wake lets the waiters look again. It is called with the lock held.
-func (m *Mirror) wake() {
+// notifyWaiters wakes pending Wait calls. The caller holds mu.
+func (m *Mirror) notifyWaiters() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Ages are how old a mirror's copy is, see objectapi.Batch.
+// Ages holds the ages of a mirror's copy; see objectapi.Batch.
 type Ages struct {
 	Age, SinceOutage time.Duration
-	// Certain is the age of what is certain; negative where that is not known.
+	// Certain is the age of the watermark; negative if unknown.
 	Certain time.Duration
 }
 
-// unknownAge stands for an age that is not known.
+// unknownAge is the age of an unknown time.
 const unknownAge = -time.Nanosecond
 
-// Ages returns how old the copy is, while it may be told as certain; else ErrUnavailable.
+// Ages returns the ages of the copy, or ErrUnavailable if it may not be served as current.
 func (m *Mirror) Ages() (Ages, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.problem(); err != nil {
+	if err := m.checkFresh(); err != nil {
 		return Ages{Certain: unknownAge}, err
 	}
-	return Ages{Age: time.Since(m.confirmed), SinceOutage: m.sinceOutage(), Certain: ageOf(m.certain)}, nil
+	return Ages{Age: time.Since(m.confirmedAt), SinceOutage: m.sinceOutage(), Certain: ageOf(m.watermark)}, nil
 }
 
-// ageOf returns how long ago a time was, which may not be known.
+// ageOf returns the time since at, or unknownAge if at is zero.
 func ageOf(at time.Time) time.Duration {
 	if at.IsZero() {
 		return unknownAge
@@ -200,24 +199,23 @@
 	return time.Since(at)
 }
 
-// sinceOutage returns how long ago the API was back after it had been lost, 0 where it never was. It is called with the
-// lock held.
+// sinceOutage returns the time since the end of the last outage, or 0 if there was none. The caller holds mu.
 func (m *Mirror) sinceOutage() time.Duration {
-	if m.regained.IsZero() {
+	if m.recoveredAt.IsZero() {
 		return 0
 	}
-	return max(time.Since(m.regained), 1) // 0 would tell of none
+	return max(time.Since(m.recoveredAt), 1) // 0 means no outage
 }
 
-// LastKnown returns the copy as it was when the API answered last, and whether there is one.
+// LastKnown returns the copy as of the API's last answer, and whether there is one.
 func (m *Mirror) LastKnown() (objectapi.Snapshot, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.snapshot(), m.version > 0
 }
 
-// seen returns the version that the copy has come to; 0 where there is none.
-func (m *Mirror) seen() uint64 {
+// currentVersion returns the version of the copy; 0 if there is none.
+func (m *Mirror) currentVersion() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.version
@@ -231,13 +229,13 @@
 	return snapshot
 }
 
-// Wait returns the changes after a version as soon as there is one, or an empty batch once wait has passed and
-// the copy is still fresh.
+// Wait returns the changes after a version as soon as there are any, or an empty batch after wait if the copy is still
+// fresh.
 func (m *Mirror) Wait(ctx context.Context, after uint64, wait time.Duration) (objectapi.Batch, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for over := false; ; {
-		batch, changed, err := m.since(after)
+		batch, changed, err := m.changesSince(after)
 		if err != nil || over || len(batch.Events) > 0 {
 			return batch, err
 		}
@@ -251,18 +249,18 @@
 	}
 }
 
-// since returns the changes after a version. A version ahead of the copy is answered by an empty batch that
-// keeps it, so that a reader never goes back.
-func (m *Mirror) since(after uint64) (objectapi.Batch, <-chan struct{}, error) {
+// changesSince returns the changes after a version. For a version ahead of the copy it returns an empty batch of that
+// version, so that a reader never goes back.
+func (m *Mirror) changesSince(after uint64) (objectapi.Batch, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.problem(); err != nil {
+	if err := m.checkFresh(); err != nil {
 		return objectapi.Batch{}, nil, err
 	}
-	if after < m.trimmed {
+	if after < m.trimmedVersion {
 		return objectapi.Batch{}, nil, objectapi.ErrGone
 	}
-	batch := objectapi.Batch{Version: max(after, m.version), Age: time.Since(m.confirmed), SinceOutage: m.sinceOutage(), Certain: m.certain}
+	batch := objectapi.Batch{Version: max(after, m.version), Age: time.Since(m.confirmedAt), SinceOutage: m.sinceOutage(), Certain: m.watermark}
 	for _, p := range m.events {
 		if p.version > after {
 			batch.Events = append(batch.Events, p.event)
--- a/internal/objects/mirror/mirror_test.go
+++ b/internal/objects/mirror/mirror_test.go
@@ -20,18 +20,18 @@
 	return objectapi.Object{Key: "k/" + key, Version: version}
 }
 
-// list returns a mirror's copy while it may be told as certain.
+// list returns a mirror's copy, and an error if it may not be served as current.
 func list(m *mirror.Mirror) (objectapi.Snapshot, error) {
 	snapshot, _ := m.LastKnown()
 	_, err := m.Ages()
 	return snapshot, err
 }
 
-func TestNothingIsToldWhileStale(t *testing.T) {
+func TestStaleMirrorRefusesReaders(t *testing.T) {
 	m := mirror.New("k/", time.Hour)
 	_, err := list(m)
 	assert.ErrorIs(t, err, objectapi.ErrUnavailable)
-	assert.ErrorIs(t, err, objectapi.ErrNotSynced, "it has lost nothing")
+	assert.ErrorIs(t, err, objectapi.ErrNotSynced, "an empty mirror has had no outage")
 	m.Reset([]objectapi.Object{object("a", 3)}, 5)
 	m.Confirm(5, time.Now())
 	snapshot, err := list(m)
@@ -42,8 +42,8 @@
 	assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 }
 
-// TestOldCopyIsNotToldAsFresh: the API has fallen silent, so that the copy ages although no call has failed yet.
-func TestOldCopyIsNotToldAsFresh(t *testing.T) {
+// TestAgedCopyIsRefused checks that a copy that is no longer confirmed is refused although no call to the API has failed.
+func TestAgedCopyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := mirror.New("k/", 2*time.Second)
 		m.Reset([]objectapi.Object{object("a", 3)}, 5)
@@ -52,7 +52,7 @@
 		_, err := list(m)
 		assert.NilError(t, err)
 		_, err = m.Wait(context.Background(), 5, time.Second)
-		assert.ErrorIs(t, err, objectapi.ErrUnavailable, "it grew too old while the reader waited")
+		assert.ErrorIs(t, err, objectapi.ErrUnavailable, "the copy exceeded its maximum age while the reader waited")
 		_, err = list(m)
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 		snapshot, known := m.LastKnown()
@@ -64,9 +64,8 @@
 	})
 }
 
-// TestDeletionsAreSeenOnce: a deletion carries the object's old version, yet every reader sees it.
-// TestOutagesAreTold: readers learn how long ago the last outage of the API ended, also of one that nobody noticed meanwhile.
-func TestOutagesAreTold(t *testing.T) {
+// TestOutagesAreReported checks that readers learn the time since the last outage, also if no call failed during it.
+func TestOutagesAreReported(t *testing.T) {
 	for name, outage := range map[string]func(m *mirror.Mirror){
 		"noticed": func(m *mirror.Mirror) { m.SourceUnavailable() },
 		"silent":  func(*mirror.Mirror) { time.Sleep(3 * time.Second) },
@@ -87,7 +86,7 @@
 				assert.Equal(t, sinceOutage(), time.Duration(0))
 				outage(m)
 				m.Confirm(6, time.Now())
-				assert.Assert(t, sinceOutage() > 0, "just now is not never")
+				assert.Assert(t, sinceOutage() > 0, "an outage that has just ended is reported")
 				time.Sleep(time.Second)
 				m.Confirm(6, time.Now())
 				assert.Equal(t, sinceOutage(), time.Second)
@@ -96,6 +95,7 @@
 	}
 }
 
+// TestDeletionsAreSeenOnce checks that every reader sees a deletion although it carries the object's old version.
 func TestDeletionsAreSeenOnce(t *testing.T) {
 	m := mirror.New("k/", time.Hour)
 	m.Reset([]objectapi.Object{object("a", 3)}, 5)
@@ -111,7 +111,7 @@
 	assert.Equal(t, len(batch.Events), 0)
 }
 
-func TestWaitersWakeAndOldReadersListAgain(t *testing.T) {
+func TestWaitReturnsChangesOrErrGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := mirror.New("k/", time.Hour)
 		m.Reset(nil, 5)
@@ -135,8 +135,7 @@
 	})
 }
 
-// TestReaderAheadNeverGoesBack: a reader that has seen more elsewhere is told nothing until the mirror is as
-// far.
+// TestReaderAheadNeverGoesBack checks that a reader that has seen a newer version elsewhere gets no older changes.
 func TestReaderAheadNeverGoesBack(t *testing.T) {
 	m := mirror.New("k/", time.Hour)
 	m.Reset(nil, 5)
@@ -164,8 +163,8 @@
 	assert.Equal(t, len(batch.Events), 99)
 }
 
-// TestListAfterLostHistoryIsToldAsChanges: readers of the mirror go on from where they were.
-func TestListAfterLostHistoryIsToldAsChanges(t *testing.T) {
+// TestRelistIsServedAsChanges checks that readers continue without a new list after the mirror had to list again.
+func TestRelistIsServedAsChanges(t *testing.T) {
 	m := mirror.New("k/", time.Hour)
 	m.Reset([]objectapi.Object{object("same", 1), object("changed", 2), object("gone", 3)}, 5)
 	m.Confirm(5, time.Now())
@@ -184,8 +183,7 @@
 	assert.Equal(t, len(snapshot.Objects), 3)
 }
 
-// TestPackedListIsMadeOnceForEachVersion and holds the same as the list.
-func TestPackedListIsMadeOnceForEachVersion(t *testing.T) {
+func TestSnapshotIsEncodedOncePerVersion(t *testing.T) {
 	m := mirror.New("k/", time.Hour)
 	var objects []objectapi.Object
 	for i := range 3000 {
@@ -199,7 +197,7 @@
 	service := mirror.NewService(m)
 	assert.NilError(t, service.List(&mirror.ListArgs{Prefix: "k/"}, &first))
 	assert.NilError(t, service.List(&mirror.ListArgs{Prefix: "k/"}, &again))
-	assert.Assert(t, &first.Packed[0] == &again.Packed[0], "packed twice")
+	assert.Assert(t, &first.Packed[0] == &again.Packed[0], "encoded twice")
 	assert.Assert(t, len(first.Packed) < 120_000, "%d bytes", len(first.Packed))
 	snapshot, err := mirror.DecodeSnapshot(first.Packed)
 	assert.NilError(t, err)
@@ -214,9 +212,9 @@
 	assert.ErrorContains(t, err, "mirror")
 }
 
-// TestCertaintyOverAHop: what a mirror is certain of does not get younger on its way to a reader, however long the answer
-// takes; a call that was kept waiting does not make it older.
-func TestCertaintyOverAHop(t *testing.T) {
+// TestWatermarkOverAHop checks that a watermark is never overstated by the delay of a reply, nor understated by the time
+// for which the call was held.
+func TestWatermarkOverAHop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		m := mirror.New("k/", time.Hour)
--- a/internal/objects/mirror/rpc.go
+++ b/internal/objects/mirror/rpc.go
@@ -9,17 +9,16 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// ServiceName is the net/rpc name of the service.
+// ServiceName is the net/rpc name of Service.
 const ServiceName = "Mirror"
 
-// answerMargin is how much longer than its wait an answer may take; a busy VM with a fifth of a core needs
-// some tens of milliseconds.
-const answerMargin = 500 * time.Millisecond
+// responseMargin is added to the wait of a call for its total timeout. It allows for the delays of a busy VM.
+const responseMargin = 500 * time.Millisecond
 
-// listTimeout bounds a list: a hundred packed kilobytes over the slowest VM's link, 30 Mbit/s, that others use too.
+// listTimeout limits a list. It allows for some 100 kB over a shared link of 30 Mbit/s.
 const listTimeout = time.Second
 
-// outcome is how a call ended; net/rpc carries no typed errors.
+// outcome is the result of a call. net/rpc carries errors as text only.
 type outcome uint8
 
 const (
@@ -55,18 +54,18 @@
 	}
 }
 
-// ListArgs ask for a mirror's copy.
+// ListArgs are the arguments of Service.List.
 type ListArgs struct{ Prefix string }
 
-// ListReply holds the copy, packed. Where the outcome is that nothing certain is known, it is an old one, or empty.
+// ListReply holds the encoded snapshot. If Outcome is an error the snapshot is stale, or empty if there is none.
 type ListReply struct {
 	Outcome outcome
 	Packed  []byte
-	// Ages are those of the copy; they mean nothing where it is an old one.
+	// Ages are valid only if Outcome is no error.
 	Ages Ages
 }
 
-// WaitArgs ask for the changes after a version.
+// WaitArgs are the arguments of Service.Wait: the changes after a version are requested.
 type WaitArgs struct {
 	Prefix string
 	After  uint64
@@ -77,15 +76,15 @@
 type WaitReply struct {
 	Outcome outcome
 	Batch   objectapi.Batch
-	// Certain is the age of what is certain when the answer was made; negative where that is not known. Held is how long
-	// the call was kept waiting until then.
+	// Certain is the age of the watermark when the reply was made; negative if unknown. Held is the time from the arrival
+	// of the call to the reply.
 	Certain, Held time.Duration
 }
 
-// Service answers daemons from mirrors. Its exported methods are net/rpc methods.
+// Service serves mirrors to other daemons. Its exported methods are net/rpc methods.
 type Service struct{ mirrors map[string]*Mirror }
 
-// NewService returns the service of some mirrors.
+// NewService returns a service of the given mirrors.
 func NewService(mirrors ...*Mirror) *Service {
 	s := &Service{mirrors: map[string]*Mirror{}}
 	for _, m := range mirrors {
@@ -94,7 +93,7 @@
 	return s
 }
 
-// List answers with a mirror's copy.
+// List returns a mirror's snapshot.
 func (s *Service) List(args *ListArgs, reply *ListReply) error {
 	m := s.mirrors[args.Prefix]
 	if m == nil {
@@ -108,7 +107,7 @@
 	return err
 }
 
-// Wait answers with the changes after a version.
+// Wait returns the changes after a version.
 func (s *Service) Wait(args *WaitArgs, reply *WaitReply) error {
 	m := s.mirrors[args.Prefix]
 	if m == nil {
@@ -116,21 +115,21 @@
 		return nil
 	}
 	var err error
-	came := time.Now()
+	received := time.Now()
 	reply.Batch, err = m.Wait(context.Background(), args.After, args.Wait)
 	reply.Outcome = outcomeOf(err)
-	reply.Held, reply.Certain = time.Since(came), ageOf(reply.Batch.Certain)
-	reply.Batch.Certain = time.Time{} // it means nothing on another VM's clock
+	reply.Held, reply.Certain = time.Since(received), ageOf(reply.Batch.Certain)
+	reply.Batch.Certain = time.Time{} // a monotonic time is meaningless to another process
 	return nil
 }
 
-// Client reads a mirror of another daemon. It implements the reading half of objectapi.API.
+// Client reads the mirrors of another daemon. It implements feed.Mirror.
 type Client struct{ link *peerlink.Link }
 
 // NewClient returns a client over a link.
 func NewClient(link *peerlink.Link) *Client { return &Client{link: link} }
 
-// List returns the copy of a prefix.
+// List returns the copy of a prefix, or an error if the mirror is not current.
 func (c *Client) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	sent := time.Now()
 	reply, err := c.list(ctx, prefix, listTimeout)
@@ -142,22 +141,22 @@
 	}
 	snapshot, err := DecodeSnapshot(reply.Packed)
 	snapshot.Age, snapshot.SinceOutage = reply.Ages.Age, reply.Ages.SinceOutage
-	snapshot.Certain = certainAt(sent, reply.Ages.Certain)
+	snapshot.Certain = watermarkAt(sent, reply.Ages.Certain)
 	return snapshot, err
 }
 
-// certainAt returns the time on this VM's clock that was age before the making of an answer, which was made after sent at
-// the earliest: nothing is known of the ways there and back. It is zero where the age is not known.
-func certainAt(sent time.Time, age time.Duration) time.Time {
+// watermarkAt converts the age of a watermark in a reply to a time of this process; zero if the age is unknown. The reply
+// was made after sent, so subtracting from sent never overstates the watermark.
+func watermarkAt(sent time.Time, age time.Duration) time.Time {
 	if age < 0 {
 		return time.Time{}
 	}
 	return sent.Add(-age)
 }
 
-// LastKnown returns the copy of a prefix though it may be an old one; ErrUnavailable means that there is none.
+// LastKnown returns the copy of a prefix, which may be stale. ErrUnavailable means that there is none.
 func (c *Client) LastKnown(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
-	reply, err := c.list(ctx, prefix, answerMargin) // one mirror after the other is asked: a dark one must not hold up for long
+	reply, err := c.list(ctx, prefix, responseMargin) // short, since mirrors are tried one after another
 	if err == nil && len(reply.Packed) == 0 {
 		err = objectapi.ErrUnavailable
 	}
@@ -179,7 +178,7 @@
 
 // Wait returns the changes of a prefix after a version.
 func (c *Client) Wait(ctx context.Context, prefix string, after uint64, wait time.Duration) (objectapi.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+answerMargin)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseMargin)
 	defer cancel()
 	args := &WaitArgs{Prefix: prefix, After: after, Wait: wait}
 	sent := time.Now()
@@ -187,6 +186,6 @@
 	if err != nil {
 		return objectapi.Batch{}, errors.Join(objectapi.ErrUnavailable, err)
 	}
-	reply.Batch.Certain = certainAt(sent.Add(reply.Held), reply.Certain)
+	reply.Batch.Certain = watermarkAt(sent.Add(reply.Held), reply.Certain)
 	return reply.Batch, reply.Outcome.err()
 }
