--- a/internal/objects/feed/feed.go
+++ b/internal/objects/feed/feed.go
@@ -1,5 +1,4 @@
-// Package feed reads the platform's objects through the daemons that mirror them, and from the store itself
-// where none of them can say.
+// Package feed reads the platform's objects through daemons that mirror them, and falls back to the store itself.
 package feed
 
 import (
@@ -15,13 +14,13 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// Source answers lists and watches of one prefix.
+// Source answers lists and long polls of one prefix.
 type Source interface {
 	List(ctx context.Context, prefix string) (objectapi.Snapshot, error)
 	Wait(ctx context.Context, prefix string, after uint64, wait time.Duration) (objectapi.Batch, error)
 }
 
-// Mirror is a source that may know old content where it knows nothing certain.
+// Mirror is a source that can also return its last known content while it is not current.
 type Mirror interface {
 	Source
 	LastKnown(ctx context.Context, prefix string) (objectapi.Snapshot, error)
@@ -39,55 +38,55 @@
 	Mirror Mirror
 }
 
-// mirrorWait is how long a mirror may keep a watch waiting, unless WithMirrorWait says otherwise. It bounds how late a dead
-// one is noticed; the calls have no price.
-const mirrorWait = time.Second
+// defaultMirrorPollTimeout limits one long poll at a mirror and so how late a dead mirror is noticed.
+const defaultMirrorPollTimeout = time.Second
 
-// stagger is how long a source may be silent before the next one is asked too: an answer takes a few
-// milliseconds, while a connection to a VM without power takes forever.
-const stagger = 30 * time.Millisecond
+// hedgeDelay is how long a source may be silent before the next one is asked as well. Mirrors answer within milliseconds.
+const hedgeDelay = 30 * time.Millisecond
 
-// oldCopyPatience is how long a daemon that knows nothing waits for the store where mirrors have lost it: above the 0.4 s
-// of a slow store.
-const oldCopyPatience = 500 * time.Millisecond
+// storeListTimeout limits a first list from the store while mirrors report an outage of it. It exceeds the response time
+// of a slow store, 0.4 s.
+const storeListTimeout = 500 * time.Millisecond
 
-// FailoverSource implements watch.Source. It stays with a source as long as that one answers.
+// FailoverSource implements watch.Source over mirrors and the store. It stays with a source while that one answers, and
+// limits the requests to the store, which are charged.
 type FailoverSource struct {
-	mirrors    func() []NamedMirror
-	direct     NamedSource
-	log        logrus.FieldLogger
-	mirrorWait time.Duration
+	mirrors           func() []NamedMirror
+	store             NamedSource
+	log               logrus.FieldLogger
+	mirrorPollTimeout time.Duration
 
 	mu sync.Mutex
-	// current is the source that answered last, newest the highest version seen of each prefix.
-	current string
-	newest  map[string]uint64
-	// directDue is from when on the store itself may be asked, mirrorAnswered when a mirror said last that it can't say.
-	directDue, mirrorAnswered time.Time
-	// known is how many mirrors there are.
-	known int
-	// firstLists counts the store's failures while nothing was known.
-	firstLists int
-	// unanswered counts the latest watches that no source answered.
-	unanswered int
+	// current is the source that answered last, newestVersions the highest version seen of each prefix.
+	current        string
+	newestVersions map[string]uint64
+	// storeRetryAt is the time from which the store may be asked again. mirrorOutageAt is the time at which a mirror last
+	// reported that it can't read the store.
+	storeRetryAt, mirrorOutageAt time.Time
+	// mirrorCount is the current number of mirrors.
+	mirrorCount int
+	// firstListFailures counts failed lists of the store before any content was known.
+	firstListFailures int
+	// failedRounds counts consecutive polls that no source answered.
+	failedRounds int
 }
 
-// New returns a feed. mirrors returns the daemons to ask, the best first.
-func New(mirrors func() []NamedMirror, direct NamedSource, log logrus.FieldLogger) *FailoverSource {
-	return &FailoverSource{mirrors: mirrors, direct: direct, log: log, mirrorWait: mirrorWait, newest: map[string]uint64{}}
+// New returns a source over mirrors and the store. mirrors returns the daemons to ask, in order of preference.
+func New(mirrors func() []NamedMirror, store NamedSource, log logrus.FieldLogger) *FailoverSource {
+	return &FailoverSource{mirrors: mirrors, store: store, log: log, mirrorPollTimeout: defaultMirrorPollTimeout, newestVersions: map[string]uint64{}}
 }
 
-// WithMirrorPollTimeout sets how long a mirror may keep a watch waiting, and returns the feed.
+// WithMirrorPollTimeout sets how long a mirror may hold a poll, and returns the source.
 func (f *FailoverSource) WithMirrorPollTimeout(d time.Duration) *FailoverSource {
-	f.mirrorWait = d
+	f.mirrorPollTimeout = d
 	return f
 }
 
-// errBehind means that a source knows less than was seen before.
-var errBehind = errors.New("source is behind")
+// errBehind means that a source has an older version than one seen before.
+var errBehind = errors.New("source has an older version than seen before")
 
-// List returns a prefix's objects, never as of an earlier version than seen before. Where neither the mirrors
-// nor the store can say, and nothing was seen before, it returns what a mirror knew last.
+// List returns the objects of a prefix, never of an older version than seen before. If no source is current and nothing
+// was seen before, it returns the last known content of a mirror, marked as stale.
 func (f *FailoverSource) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	sources, current := f.sources()
 	var problems []error
@@ -100,26 +99,26 @@
 		return struct{}{}, err
 	}
 	for len(sources) > 0 {
-		// A list may be large: one source is asked for it, one that has just answered a small question.
+		// A list may be large, so it is requested from one source only: the first to answer a probe.
 		_, chosen, problem := race(ctx, f, sources, ask)
 		problems = append(problems, problem)
 		if chosen.Source == nil {
 			break
 		}
 		snapshot, err := f.list(ctx, chosen, prefix)
-		if err == nil && !f.saw(prefix, snapshot.Version) {
+		if err == nil && !f.advanceVersion(prefix, snapshot.Version) {
 			err = errBehind
 		}
 		if err == nil {
-			f.settle(chosen.Name, current, errors.Join(problems...))
+			f.setCurrent(chosen.Name, current, errors.Join(problems...))
 			return snapshot, nil
 		}
 		problems = append(problems, err)
 		if ctx.Err() != nil {
-			break // given up by its reader: no failure
+			break // cancelled by the caller: not a failure of the source
 		}
-		f.noteFailure(chosen, err)
-		if !f.saw(prefix, 0) || !f.noteFirstList(chosen) {
+		f.recordFailure(chosen, err)
+		if !f.advanceVersion(prefix, 0) || !f.retryFirstList(chosen) {
 			failed.Store(chosen.Name, true)
 		}
 		sources = slices.DeleteFunc(sources, func(s source) bool {
@@ -128,35 +127,35 @@
 		})
 	}
 	problem := errors.Join(problems...)
-	if !f.saw(prefix, 0) {
+	if !f.advanceVersion(prefix, 0) {
 		return objectapi.Snapshot{}, problem
 	}
-	return f.stale(ctx, prefix, problem)
+	return f.lastKnown(ctx, prefix, problem)
 }
 
-// list asks a source for a list. A reader that knows nothing, and could take a mirror's old copy, does not wait for a
-// silent store.
+// list requests a list from one source. A first list from the store gets a short timeout while mirrors, which may have
+// stale content to offer, report an outage.
 func (f *FailoverSource) list(ctx context.Context, s source, prefix string) (objectapi.Snapshot, error) {
-	if s.direct && f.saw(prefix, 0) && f.mirrorsHaveLostIt() {
+	if s.isStore && f.advanceVersion(prefix, 0) && f.mirrorsReportOutage() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, oldCopyPatience)
+		ctx, cancel = context.WithTimeout(ctx, storeListTimeout)
 		defer cancel()
 	}
 	return s.Source.List(ctx, prefix)
 }
 
-// probe asks a mirror whether it could answer: for changes after the last version that there can be. The store
-// itself is not asked: each call to it has a price.
+// probe checks that a mirror can answer, by polling after the highest possible version. The store is not probed, as
+// every request to it is charged.
 func probe(ctx context.Context, s source, prefix string) error {
-	if s.direct {
+	if s.isStore {
 		return nil
 	}
 	_, err := s.Source.Wait(ctx, prefix, math.MaxUint64, 0)
 	return err
 }
 
-// race asks the sources in order, the next one when one fails or is silent for stagger, and returns the first
-// good answer with its source, which is empty where there was none. Sources that failed are noted.
+// race asks the sources in order, the next one whenever one fails or is silent for hedgeDelay. It returns the first
+// answer and its source, or an empty source if there was none. Failed sources are recorded.
 func race[T any](ctx context.Context, f *FailoverSource, sources []source, ask func(context.Context, source) (T, error)) (T, source, error) {
 	type answer struct {
 		source source
@@ -179,7 +178,7 @@
 		}()
 	}
 	askNext(true)
-	ticks := time.NewTicker(stagger)
+	ticks := time.NewTicker(hedgeDelay)
 	defer ticks.Stop()
 	problems := []error{objectapi.ErrUnavailable}
 	for answered := 0; answered < asked; {
@@ -193,8 +192,8 @@
 				return a.value, a.source, errors.Join(problems...)
 			}
 			problems = append(problems, a.err)
-			if ctx.Err() == nil { // a call that its caller gave up says nothing of its source
-				f.noteFailure(a.source, a.err)
+			if ctx.Err() == nil { // cancellation is not a failure of the source
+				f.recordFailure(a.source, a.err)
 			}
 			askNext(answered == asked)
 		}
@@ -203,13 +202,13 @@
 	return none, source{}, errors.Join(problems...)
 }
 
-// stale returns the newest old content of a prefix that any of mostMirrors mirrors has, of those that answer.
-func (f *FailoverSource) stale(ctx context.Context, prefix string, problem error) (objectapi.Snapshot, error) {
+// lastKnown returns the newest stale content of a prefix among the first mirrorsPerRound mirrors that answer.
+func (f *FailoverSource) lastKnown(ctx context.Context, prefix string, problem error) (objectapi.Snapshot, error) {
 	var newest objectapi.Snapshot
 	var from string
 	answered := 0
 	for _, m := range f.mirrors() {
-		if answered == mostMirrors {
+		if answered == mirrorsPerRound {
 			break
 		}
 		snapshot, err := m.Mirror.LastKnown(ctx, prefix)
@@ -223,79 +222,80 @@
 	if from == "" {
 		return newest, problem
 	}
-	f.saw(prefix, newest.Version)
+	f.advanceVersion(prefix, newest.Version)
 	newest.Stale = true
 	f.log.WithFields(logrus.Fields{"event": "feed-stale", "prefix": prefix, "version": newest.Version, "source": from,
-		"error": problem}).Warn("the store can't be read; using what a mirror knew last")
+		"error": problem}).Warn("store unavailable; using stale content of a mirror")
 	return newest, nil
 }
 
-// Wait returns the changes of exactly one prefix. ErrGone is an answer.
+// Wait is a long poll of exactly one prefix. ErrGone counts as an answer.
 //
-// The source that answered last may keep the watch waiting. Where it fails, and where wait is 0, the others are asked for
-// what they have at once, so that several VMs that went dark together cost no more than one.
+// Only the current source may hold the poll. If it fails, or wait is 0, the others are asked for their present changes,
+// so that several VMs that fail together cost no more time than one.
 func (f *FailoverSource) Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error) {
 	prefix := prefixes[0]
 	sources, current := f.sources()
-	if first := sources[0]; wait > 0 && first.Name == current && !first.direct {
-		changes, err := f.changes(ctx, first, prefix, after, min(wait, f.mirrorWait))
+	if first := sources[0]; wait > 0 && first.Name == current && !first.isStore {
+		changes, err := f.poll(ctx, first, prefix, after, min(wait, f.mirrorPollTimeout))
 		if err == nil {
-			return changes.unpack()
+			return changes.batchOrGone()
 		}
 		if ctx.Err() == nil {
-			f.noteFailure(first, err)
+			f.recordFailure(first, err)
 		}
 		sources = sources[1:]
 	}
-	changes, chosen, problem := race(ctx, f, sources, func(ctx context.Context, s source) (changes, error) {
+	changes, chosen, problem := race(ctx, f, sources, func(ctx context.Context, s source) (pollResult, error) {
 		limit := time.Duration(0)
-		if s.direct && s.Name == current {
+		if s.isStore && s.Name == current {
 			limit = wait
 		}
-		return f.changes(ctx, s, prefix, after, limit)
+		return f.poll(ctx, s, prefix, after, limit)
 	})
 	if ctx.Err() == nil {
-		f.noteRound(chosen.Source != nil)
+		f.recordRound(chosen.Source != nil)
 	}
 	if chosen.Source == nil {
 		return objectapi.Batch{}, problem
 	}
-	f.settle(chosen.Name, current, problem)
-	return changes.unpack()
+	f.setCurrent(chosen.Name, current, problem)
+	return changes.batchOrGone()
 }
 
-// changes is a source's answer to a watch. Gone tells that its history does not reach back far enough.
-type changes struct {
+// pollResult is a source's answer to a poll. gone stands for ErrGone.
+type pollResult struct {
 	batch objectapi.Batch
 	gone  bool
 }
 
-func (c changes) unpack() (objectapi.Batch, error) {
+func (c pollResult) batchOrGone() (objectapi.Batch, error) {
 	if c.gone {
 		return c.batch, objectapi.ErrGone
 	}
 	return c.batch, nil
 }
 
-// changes asks one source for the changes of a prefix.
-func (f *FailoverSource) changes(ctx context.Context, s source, prefix string, after uint64, wait time.Duration) (changes, error) {
+// poll requests the changes of a prefix from one source.
+func (f *FailoverSource) poll(ctx context.Context, s source, prefix string, after uint64, wait time.Duration) (pollResult, error) {
 	batch, err := s.Source.Wait(ctx, prefix, after, wait)
 	if errors.Is(err, objectapi.ErrGone) {
-		return changes{gone: true}, nil
+		return pollResult{gone: true}, nil
 	}
 	if err == nil {
-		f.saw(prefix, batch.Version)
+		f.advanceVersion(prefix, batch.Version)
 	}
-	return changes{batch: batch}, err
+	return pollResult{batch: batch}, err
 }
 
-// saw notes a version and tells whether it is as new as any seen before.
-func (f *FailoverSource) saw(prefix string, version uint64) bool {
+// advanceVersion records a version of a prefix. It returns false if a newer one was seen before; version 0 asks whether
+// none was seen yet.
+func (f *FailoverSource) advanceVersion(prefix string, version uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if version < f.newest[prefix] {
+	if version < f.newestVersions[prefix] {
 		return false
 	}
-	f.newest[prefix] = version
+	f.newestVersions[prefix] = version
 	return true
 }
--- a/internal/objects/feed/feed_test.go
+++ b/internal/objects/feed/feed_test.go
@@ -17,25 +17,25 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// source answers with a version, or fails.
-type source struct {
+// fakeSource answers with a fixed version or error.
+type fakeSource struct {
 	version uint64
 	err     error
 	asked   int
-	// silent sources answer only when the asker gives up.
+	// silent sources answer only when the caller gives up.
 	silent bool
-	// old is the version of what it knew last; 0 where it knows nothing.
+	// old is the version of its last known content; 0 if there is none.
 	old uint64
 }
 
-func (s *source) LastKnown(context.Context, string) (objectapi.Snapshot, error) {
+func (s *fakeSource) LastKnown(context.Context, string) (objectapi.Snapshot, error) {
 	if s.old == 0 {
 		return objectapi.Snapshot{}, objectapi.ErrUnavailable
 	}
 	return objectapi.Snapshot{Version: s.old}, nil
 }
 
-func (s *source) List(ctx context.Context, _ string) (objectapi.Snapshot, error) {
+func (s *fakeSource) List(ctx context.Context, _ string) (objectapi.Snapshot, error) {
 	s.asked++
 	if s.silent {
 		<-ctx.Done()
@@ -44,7 +44,7 @@
 	return objectapi.Snapshot{Version: s.version}, s.err
 }
 
-func (s *source) Wait(ctx context.Context, _ string, _ uint64, wait time.Duration) (objectapi.Batch, error) {
+func (s *fakeSource) Wait(ctx context.Context, _ string, _ uint64, wait time.Duration) (objectapi.Batch, error) {
 	s.asked++
 	if s.silent {
 		ctx, cancel := context.WithTimeout(ctx, wait+500*time.Millisecond) // as mirror.Client
@@ -55,7 +55,7 @@
 	return objectapi.Batch{Version: s.version}, s.err
 }
 
-func newFeed(direct *source, mirrors ...*source) *feed.FailoverSource {
+func newFeed(store *fakeSource, mirrors ...*fakeSource) *feed.FailoverSource {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	list := func() []feed.NamedMirror {
@@ -65,11 +65,11 @@
 		}
 		return named
 	}
-	return feed.New(list, feed.NamedSource{Name: "direct", Source: direct}, log)
+	return feed.New(list, feed.NamedSource{Name: "direct", Source: store}, log)
 }
 
-func TestMirrorsComeFirstAndTheStoreLast(t *testing.T) {
-	direct, a, b := &source{version: 9}, &source{version: 5}, &source{version: 6}
+func TestMirrorsArePreferredToTheStore(t *testing.T) {
+	direct, a, b := &fakeSource{version: 9}, &fakeSource{version: 5}, &fakeSource{version: 6}
 	f := newFeed(direct, a, b)
 	snapshot, err := f.List(context.Background(), "k/")
 	assert.NilError(t, err)
@@ -78,7 +78,7 @@
 	batch, err := f.Wait(context.Background(), []string{"k/"}, 5, time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, batch.Version, uint64(6))
-	// It stays with the one that answered.
+	// It stays with the source that answered.
 	a.err, a.asked = nil, 0
 	_, err = f.Wait(context.Background(), []string{"k/"}, 6, time.Second)
 	assert.NilError(t, err)
@@ -92,9 +92,9 @@
 	assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 }
 
-// TestListsNeverGoBack: a mirror that is behind what was seen before is passed over.
+// TestListsNeverGoBack checks that a mirror that is behind an earlier result is skipped.
 func TestListsNeverGoBack(t *testing.T) {
-	direct, a := &source{version: 9}, &source{version: 8}
+	direct, a := &fakeSource{version: 9}, &fakeSource{version: 8}
 	f := newFeed(direct, a)
 	a.err = objectapi.ErrUnavailable
 	_, err := f.List(context.Background(), "k/")
@@ -107,16 +107,17 @@
 	assert.NilError(t, err)
 }
 
-func TestHistoryThatIsGoneIsAnAnswer(t *testing.T) {
-	direct, a := &source{version: 9}, &source{err: objectapi.ErrGone}
+func TestErrGoneIsAnAnswer(t *testing.T) {
+	direct, a := &fakeSource{version: 9}, &fakeSource{err: objectapi.ErrGone}
 	_, err := newFeed(direct, a).Wait(context.Background(), []string{"k/"}, 1, time.Second)
 	assert.Assert(t, errors.Is(err, objectapi.ErrGone))
 	assert.Equal(t, direct.asked, 0)
 }
 
-// TestOldContentServesThoseWhoKnowNothing: after a loss of power everywhere, with the store away.
-func TestOldContentServesThoseWhoKnowNothing(t *testing.T) {
-	direct, a, b := &source{err: objectapi.ErrUnavailable}, &source{err: objectapi.ErrUnavailable, old: 4}, &source{err: objectapi.ErrUnavailable, old: 6}
+// TestStaleContentServesTheFirstListOnly checks that a reader that has just started gets stale content in an outage of
+// the store, and later lists fail.
+func TestStaleContentServesTheFirstListOnly(t *testing.T) {
+	direct, a, b := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: objectapi.ErrUnavailable, old: 4}, &fakeSource{err: objectapi.ErrUnavailable, old: 6}
 	f := newFeed(direct, a, b)
 	snapshot, err := f.List(context.Background(), "k/")
 	assert.NilError(t, err)
@@ -126,10 +127,10 @@
 	assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 }
 
-// TestFailedStoreIsLeftAlone: mirrors ask it too, so each reader asks it only now and then.
-func TestFailedStoreIsLeftAlone(t *testing.T) {
+// TestFailedStoreIsRetriedRarely checks that readers rarely ask a failed store while a mirror answers for it.
+func TestFailedStoreIsRetriedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &source{err: objectapi.ErrUnavailable}, &source{err: objectapi.ErrUnavailable}
+		direct, a := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: objectapi.ErrUnavailable}
 		f := newFeed(direct, a)
 		for range 60 {
 			_, err := f.List(context.Background(), "k/")
@@ -141,10 +142,10 @@
 	})
 }
 
-// TestSilentSourceHoldsNoListUp: a VM without power keeps a connection waiting; the next source is asked soon.
-func TestSilentSourceHoldsNoListUp(t *testing.T) {
+// TestSilentSourceDoesNotDelayLists checks that the next source is asked after hedgeDelay.
+func TestSilentSourceDoesNotDelayLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a, b := &source{version: 9}, &source{silent: true}, &source{silent: true}
+		direct, a, b := &fakeSource{version: 9}, &fakeSource{silent: true}, &fakeSource{silent: true}
 		began := time.Now()
 		snapshot, err := newFeed(direct, a, b).List(context.Background(), "k/")
 		assert.NilError(t, err)
@@ -153,11 +154,11 @@
 	})
 }
 
-// TestDarkMirrorsCostOneWait: the mirror in use and two others lose power together; a change is seen once the
-// watch on the first has failed, not after a watch on each.
-func TestDarkMirrorsCostOneWait(t *testing.T) {
+// TestFailedMirrorsCostOnePollTimeout checks that a change is seen after one poll timeout if the current mirror and two
+// others fail together.
+func TestFailedMirrorsCostOnePollTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a, b, c, d := &source{version: 9}, &source{version: 5}, &source{version: 5}, &source{version: 5}, &source{version: 5}
+		direct, a, b, c, d := &fakeSource{version: 9}, &fakeSource{version: 5}, &fakeSource{version: 5}, &fakeSource{version: 5}, &fakeSource{version: 5}
 		f := newFeed(direct, a, b, c, d)
 		_, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
@@ -171,31 +172,31 @@
 	})
 }
 
-// counted is a source that tells how often it was asked for a list.
-type counted struct {
-	source
+// countingSource counts its lists.
+type countingSource struct {
+	fakeSource
 	lists int
 }
 
-func (c *counted) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
+func (c *countingSource) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	c.lists++
-	time.Sleep(200 * time.Millisecond) // a large one over a slow link
-	return c.source.List(ctx, prefix)
+	time.Sleep(200 * time.Millisecond) // a large list over a slow link
+	return c.fakeSource.List(ctx, prefix)
 }
 
-// TestOneSourceIsAskedForAList: a list that takes long must not be asked of every source at once.
+// TestOneSourceIsAskedForAList checks that a slow list is not requested from several sources.
 func TestOneSourceIsAskedForAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		var all []*counted
+		var all []*countingSource
 		var mirrors []feed.NamedMirror
 		for i := range 5 {
-			c := &counted{source: source{version: 5}}
+			c := &countingSource{fakeSource: fakeSource{version: 5}}
 			all = append(all, c)
 			mirrors = append(mirrors, feed.NamedMirror{Name: string(rune('a' + i)), Mirror: c})
 		}
-		f := feed.New(func() []feed.NamedMirror { return mirrors }, feed.NamedSource{Name: "direct", Source: &source{version: 9}}, log)
+		f := feed.New(func() []feed.NamedMirror { return mirrors }, feed.NamedSource{Name: "direct", Source: &fakeSource{version: 9}}, log)
 		_, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
 		lists := 0
@@ -206,11 +207,11 @@
 	})
 }
 
-// TestNewsIsSoughtBesideASilentStore: a reader of the store itself asks, after an outage, what there is now; mirrors that
-// are back answer although the store's connection is dead.
-func TestNewsIsSoughtBesideASilentStore(t *testing.T) {
+// TestMirrorsArePolledBesideASilentStore checks that a poll without a wait asks recovered mirrors too while the store,
+// which is the current source, is silent.
+func TestMirrorsArePolledBesideASilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &source{version: 5}, &source{err: objectapi.ErrUnavailable}
+		direct, a := &fakeSource{version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
 		f := newFeed(direct, a)
 		_, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
@@ -223,10 +224,10 @@
 	})
 }
 
-// TestStoreIsAskedSoonWhereNoMirrorAnswers: all store daemons are down when the store returns, so nobody else says so.
-func TestStoreIsAskedSoonWhereNoMirrorAnswers(t *testing.T) {
+// TestStoreIsRetriedSoonWithoutMirrors checks that the store's recovery is noticed soon if no mirror is reachable.
+func TestStoreIsRetriedSoonWithoutMirrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &source{err: objectapi.ErrUnavailable}, &source{err: fmt.Errorf("%w: %w", objectapi.ErrUnavailable, peerlink.ErrUnreachable)}
+		direct, a := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: fmt.Errorf("%w: %w", objectapi.ErrUnavailable, peerlink.ErrUnreachable)}
 		f := newFeed(direct, a)
 		for range 60 {
 			_, err := f.Wait(context.Background(), []string{"k/"}, 5, 0)
@@ -246,10 +247,10 @@
 	})
 }
 
-// TestGivenUpCallIsNoFailure: a watch that its reader ends must not leave the store alone for seconds.
-func TestGivenUpCallIsNoFailure(t *testing.T) {
+// TestCancelledPollIsNoFailure checks that a poll cancelled by its caller does not cause a pause of the store.
+func TestCancelledPollIsNoFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &source{version: 5}, &source{err: objectapi.ErrUnavailable}
+		direct, a := &fakeSource{version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
 		f := newFeed(direct, a)
 		_, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
@@ -264,10 +265,10 @@
 	})
 }
 
-// TestGivenUpListIsNoFailure: the same for a daemon that has just started.
-func TestGivenUpListIsNoFailure(t *testing.T) {
+// TestCancelledListIsNoFailure checks the same for a first list.
+func TestCancelledListIsNoFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &source{silent: true, version: 5}, &source{err: objectapi.ErrUnavailable}
+		direct, a := &fakeSource{silent: true, version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
 		f := newFeed(direct, a)
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
@@ -280,12 +281,12 @@
 	})
 }
 
-// TestFewMirrorsAreAskedWhileNobodyAnswers, and all of them in turn.
-func TestFewMirrorsAreAskedWhileNobodyAnswers(t *testing.T) {
-	direct := &source{err: objectapi.ErrUnavailable}
-	var mirrors []*source
+// TestMirrorsAreSampledInAnOutage checks that each round asks a few mirrors, and the rounds together all of them.
+func TestMirrorsAreSampledInAnOutage(t *testing.T) {
+	direct := &fakeSource{err: objectapi.ErrUnavailable}
+	var mirrors []*fakeSource
 	for range 30 {
-		mirrors = append(mirrors, &source{err: objectapi.ErrUnavailable})
+		mirrors = append(mirrors, &fakeSource{err: objectapi.ErrUnavailable})
 	}
 	f := newFeed(direct, mirrors...)
 	asked := func() (sum int) {
@@ -311,10 +312,11 @@
 	t.Fatal("a mirror that is back was not found")
 }
 
-// TestSilentStoreHoldsNoOldCopyUp: a daemon that starts while the store is silent, and mirrors have lost it.
-func TestSilentStoreHoldsNoOldCopyUp(t *testing.T) {
+// TestSilentStoreDoesNotDelayStaleContent checks that first lists return stale content soon if the store is silent and
+// mirrors report an outage.
+func TestSilentStoreDoesNotDelayStaleContent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &source{silent: true}, &source{err: objectapi.ErrUnavailable, old: 4}
+		direct, a := &fakeSource{silent: true}, &fakeSource{err: objectapi.ErrUnavailable, old: 4}
 		f := newFeed(direct, a)
 		began := time.Now()
 		for _, prefix := range []string{"layout/", "config/", "servers/"} {
@@ -328,12 +330,12 @@
 	})
 }
 
-// TestStoreIsAskedAgainBesideSilentMirrors: power is back everywhere but at the store daemons, as an outage ends 0.1 s after a
-// daemon has started. Its first list waited 0.5 s for them.
-func TestStoreIsAskedAgainBesideSilentMirrors(t *testing.T) {
+// TestStoreIsRetriedBesideSilentMirrors checks that a first list notices the store's recovery within 0.25 s while all
+// mirrors are silent.
+func TestStoreIsRetriedBesideSilentMirrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct := &source{err: objectapi.ErrUnavailable, version: 7}
-		f := newFeed(direct, &source{silent: true}, &source{silent: true}, &source{silent: true})
+		direct := &fakeSource{err: objectapi.ErrUnavailable, version: 7}
+		f := newFeed(direct, &fakeSource{silent: true}, &fakeSource{silent: true}, &fakeSource{silent: true})
 		began := time.Now()
 		go func() {
 			time.Sleep(100 * time.Millisecond)
@@ -347,34 +349,34 @@
 	})
 }
 
-// TestFirstListWithoutMirrorsEnds: its reader pauses and asks again.
-func TestFirstListWithoutMirrorsEnds(t *testing.T) {
+// TestFirstListWithoutMirrorsAsksOnce checks that List does not retry by itself without mirrors; the caller does.
+func TestFirstListWithoutMirrorsAsksOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct := &source{err: objectapi.ErrUnavailable}
+		direct := &fakeSource{err: objectapi.ErrUnavailable}
 		_, err := newFeed(direct).List(t.Context(), "k/")
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 		assert.Equal(t, direct.asked, 1)
 	})
 }
 
-// TestCrowdLeavesAStoreThatItsMirrorsHaveLostAlone: 259 readers before 36 mirrors, in an outage of 8 s. Before, each asked the
-// store at once and then every 3 s: 777 priced calls; now at most 163 in thirty outages. With few mirrors each is asked at
-// once: the store may turn those away and serve the reader.
-func TestCrowdLeavesAStoreThatItsMirrorsHaveLostAlone(t *testing.T) {
+// TestManyReadersSpareTheStoreInAnOutage checks that 259 readers of 36 mirrors together send at most one request each to
+// the store during an outage of 8 s. With few mirrors every reader asks at once, since the store may refuse the mirrors
+// and serve the reader.
+func TestManyReadersSpareTheStoreInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := func(readers, mirrors int) (calls int) {
 			var feeds []*feed.FailoverSource
-			direct := &source{err: objectapi.ErrUnavailable}
-			var lost []*source
+			direct := &fakeSource{err: objectapi.ErrUnavailable}
+			var lost []*fakeSource
 			for range mirrors {
-				lost = append(lost, &source{version: 5})
+				lost = append(lost, &fakeSource{version: 5})
 			}
 			for range readers {
 				feeds = append(feeds, newFeed(direct, lost...))
 			}
 			round := func() {
 				for _, f := range feeds {
-					_, _ = f.Wait(context.Background(), []string{"k/"}, 5, time.Second) // fails while the store is away
+					_, _ = f.Wait(context.Background(), []string{"k/"}, 5, time.Second) // fails during the outage
 				}
 			}
 			round()
@@ -396,15 +398,15 @@
 	})
 }
 
-// TestMirrorsThatKnowNothingYetHaveLostNothing: after a kill of all, fronts start while store daemons wait for their own
-// first lists. That says nothing of the store: it is asked at once, however many mirrors there are.
-func TestMirrorsThatKnowNothingYetHaveLostNothing(t *testing.T) {
+// TestUnsyncedMirrorsReportNoOutage checks that the store is asked at once while mirrors still wait for their first
+// lists, as after a restart of all daemons.
+func TestUnsyncedMirrorsReportNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 20 {
-			direct := &source{version: 9}
-			mirrors := make([]*source, 9)
+			direct := &fakeSource{version: 9}
+			mirrors := make([]*fakeSource, 9)
 			for i := range mirrors {
-				mirrors[i] = &source{err: objectapi.ErrNotSynced}
+				mirrors[i] = &fakeSource{err: objectapi.ErrNotSynced}
 			}
 			f := newFeed(direct, mirrors...)
 			began := time.Now()
@@ -416,15 +418,14 @@
 	})
 }
 
-// TestBusyMirrorsAreNotAllAsked: where every mirror is slow, as when a fleet starts, a reader asks a few of them and no more,
-// however many there are.
+// TestBusyMirrorsAreNotAllAsked checks that a reader asks a bounded number of mirrors while all are slow.
 func TestBusyMirrorsAreNotAllAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var mirrors []*source
+		var mirrors []*fakeSource
 		for range 119 {
-			mirrors = append(mirrors, &source{silent: true, version: 5})
+			mirrors = append(mirrors, &fakeSource{silent: true, version: 5})
 		}
-		direct := &source{}
+		direct := &fakeSource{}
 		f := newFeed(direct, mirrors...)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
@@ -435,18 +436,19 @@
 			asked += min(1, m.asked)
 		}
 		assert.Assert(t, asked > 6 && asked <= 12, "%d mirrors were asked", asked)
-		assert.Equal(t, direct.asked, 0, "the store is not asked because a fleet is busy")
+		assert.Equal(t, direct.asked, 0, "slow mirrors must not cause requests to the store")
 	})
 }
 
-// TestDarkDataCentreHoldsNoListUp: the six best mirrors, all of one data centre, have no power.
-func TestDarkDataCentreHoldsNoListUp(t *testing.T) {
+// TestFailedDataCentreDoesNotDelayLists checks that lists succeed soon if the preferred mirrors, all of one data centre,
+// are silent.
+func TestFailedDataCentreDoesNotDelayLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var mirrors []*source
+		var mirrors []*fakeSource
 		for i := range 36 {
-			mirrors = append(mirrors, &source{silent: i < 8, version: 5})
+			mirrors = append(mirrors, &fakeSource{silent: i < 8, version: 5})
 		}
-		direct := &source{version: 9}
+		direct := &fakeSource{version: 9}
 		began := time.Now()
 		snapshot, err := newFeed(direct, mirrors...).List(context.Background(), "k/")
 		assert.NilError(t, err)
--- a/internal/objects/feed/sources.go
+++ b/internal/objects/feed/sources.go
@@ -12,55 +12,52 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// How long the store itself is left alone after it has failed. Where mirrors answer that they have lost it too, they say
-// when it is back; where none answers at all, only the store can.
+// Pauses between requests to a failed store. While mirrors answer that they have lost the store too, they will report its
+// recovery; while none answers, only the store itself can.
 const (
-	directPause      = 3 * time.Second
-	directAlonePause = 500 * time.Millisecond
-	// firstListPause is the first pause before a daemon that knows nothing, and has no mirror in reach, asks for its first list
-	// again, doubled with each failure up to directAlonePause: power may return just as an outage ends.
-	firstListPause = 50 * time.Millisecond
+	storeRetryPause      = 3 * time.Second
+	storeRetryPauseAlone = 500 * time.Millisecond
+	// firstListRetryPause is the first pause between attempts of a first list while no mirror is reachable. It doubles up
+	// to storeRetryPauseAlone.
+	firstListRetryPause = 50 * time.Millisecond
 )
 
-// manyMirrors is from how many mirrors on their word that they have lost the store is all but certain: where the store turns
-// away a third of the VMs, all of so many are among them once in some thousand times. Readers then ask the store itself
-// the less often the more mirrors there are, and not at once: each call has a price.
+// manyMirrors is the number of mirrors from which on their reports of an outage are relied upon. Readers then delay their
+// own request to the store, in proportion to the number of mirrors, since each request is charged.
 const manyMirrors = 8
 
-// mostMirrors is how many mirrors a reader turns to within ticks of one another in one round, the best first and others in the
-// next round where none of them answers. Each that it asks costs both a connection, so readers that ask all make as many as
-// readers times mirrors. As many more, from all over the list, are asked slowTicks apart: the best stand in one data centre,
-// which may be dark as a whole.
+// mirrorsPerRound limits the mirrors that a reader asks within hedgeDelay of one another, which bounds the connections
+// when all readers ask. As many more, spread over the rest of the list, follow at intervals of extraMirrorTicks times
+// hedgeDelay: the preferred mirrors share a data centre, which may have failed as a whole.
 const (
-	mostMirrors = 6
-	slowTicks   = 8
+	mirrorsPerRound  = 6
+	extraMirrorTicks = 8
 )
 
-// lostSample is how many mirrors are asked at a time while nobody can say, others each time: readers ask
-// several times a second.
-const lostSample = 3
+// outageSample is the number of mirrors asked in each round while none can answer; the rounds rotate through all mirrors.
+const outageSample = 3
 
-// source is a mirror or the store itself.
+// source is a mirror or the store.
 type source struct {
 	NamedSource
-	direct bool
+	isStore bool
 }
 
-// sources returns whom to ask, in order: the one that answered last, the other mirrors, the store itself unless
-// it failed just now. While nobody answers, it names a few of the mirrors only. It also returns who answered last.
+// sources returns the sources to ask, in order: the current one, the other mirrors, and the store unless it failed
+// recently. After a failed round it includes a sample of the mirrors only. It also returns the current source's name.
 func (f *FailoverSource) sources() ([]source, string) {
 	mirrors := f.mirrors()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.known = len(mirrors)
+	f.mirrorCount = len(mirrors)
 	switch {
-	case f.unanswered > 0 && len(mirrors) > lostSample:
-		from := f.unanswered * lostSample % len(mirrors)
-		mirrors = slices.Concat(mirrors[from:], mirrors[:from])[:lostSample]
-	case len(mirrors) > 2*mostMirrors:
-		best, rest := mirrors[:mostMirrors:mostMirrors], mirrors[mostMirrors:]
-		for i := range mostMirrors {
-			best = append(best, rest[i*len(rest)/mostMirrors])
+	case f.failedRounds > 0 && len(mirrors) > outageSample:
+		from := f.failedRounds * outageSample % len(mirrors)
+		mirrors = slices.Concat(mirrors[from:], mirrors[:from])[:outageSample]
+	case len(mirrors) > 2*mirrorsPerRound:
+		best, rest := mirrors[:mirrorsPerRound:mirrorsPerRound], mirrors[mirrorsPerRound:]
+		for i := range mirrorsPerRound {
+			best = append(best, rest[i*len(rest)/mirrorsPerRound])
 		}
 		mirrors = best
 	}
@@ -71,101 +68,103 @@
 			sources[0], sources[last] = sources[last], sources[0]
 		}
 	}
-	if f.directIsDue() {
-		sources = append(sources, source{NamedSource: f.direct, direct: true})
+	if f.storeIsDue() {
+		sources = append(sources, source{NamedSource: f.store, isStore: true})
 	}
 	return sources, f.current
 }
 
-// directIsDue tells whether the store itself may be asked now. It is called with the lock held.
-func (f *FailoverSource) directIsDue() bool { return f.known == 0 || !time.Now().Before(f.directDue) }
+// storeIsDue reports whether the store may be asked now. The caller holds mu.
+func (f *FailoverSource) storeIsDue() bool {
+	return f.mirrorCount == 0 || !time.Now().Before(f.storeRetryAt)
+}
 
-// leaveAloneFor returns how long the store is left alone after it has failed now. It is called with the lock held.
-func (f *FailoverSource) leaveAloneFor(now time.Time) time.Duration {
-	if f.mirrorAnswered.Before(now.Add(-directPause)) {
-		return directAlonePause
+// storeBackoff returns the pause after a failure of the store. The caller holds mu.
+func (f *FailoverSource) storeBackoff(now time.Time) time.Duration {
+	if f.mirrorOutageAt.Before(now.Add(-storeRetryPause)) {
+		return storeRetryPauseAlone
 	}
-	return directPause * time.Duration(max(manyMirrors, f.known)) / manyMirrors
+	return storeRetryPause * time.Duration(max(manyMirrors, f.mirrorCount)) / manyMirrors
 }
 
-// mayAsk tells whether a source may be asked now: while sources were tried, mirrors may have said that they have lost the
-// store.
+// mayAsk reports whether a source may still be asked: mirrors may have reported an outage of the store since the round
+// began.
 func (f *FailoverSource) mayAsk(s source) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !s.direct || f.directIsDue()
+	return !s.isStore || f.storeIsDue()
 }
 
-// tooSoon tells whether the next source, before which so many were asked, is to be asked later than after so many ticks of
-// silence. The store itself is asked no sooner than if every mirror had had its tick: where a fleet starts all mirrors are slow,
-// and each reader's calls to the store have a price.
+// tooSoon reports whether the next source has to wait for more ticks of silence, given the number of sources asked and of
+// ticks passed. The store waits for as many ticks as there are mirrors, so that slow mirrors alone don't cause requests
+// to it.
 func (f *FailoverSource) tooSoon(s source, asked, ticks int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if s.direct {
-		return ticks < f.known
+	if s.isStore {
+		return ticks < f.mirrorCount
 	}
-	return asked >= mostMirrors && ticks < mostMirrors+slowTicks*(asked-mostMirrors)
+	return asked >= mirrorsPerRound && ticks < mirrorsPerRound+extraMirrorTicks*(asked-mirrorsPerRound)
 }
 
-// mirrorsHaveLostIt tells whether a mirror has just said that it can't read the store either.
-func (f *FailoverSource) mirrorsHaveLostIt() bool {
+// mirrorsReportOutage reports whether a mirror recently answered that it can't read the store.
+func (f *FailoverSource) mirrorsReportOutage() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.mirrorAnswered) < directPause
+	return time.Since(f.mirrorOutageAt) < storeRetryPause
 }
 
-// noteFailure remembers that the store itself failed, or that a mirror that is in reach can't say.
-func (f *FailoverSource) noteFailure(s source, err error) {
+// recordFailure records a failure of the store, or that a reachable mirror is not current.
+func (f *FailoverSource) recordFailure(s source, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	switch {
-	case s.direct:
-		f.directDue = now.Add(f.leaveAloneFor(now))
-	case errors.Is(err, objectapi.ErrNotSynced): // it has just started, and has not lost the store
+	case s.isStore:
+		f.storeRetryAt = now.Add(f.storeBackoff(now))
+	case errors.Is(err, objectapi.ErrNotSynced): // it has just started: no sign of an outage
 	case !errors.Is(err, peerlink.ErrUnreachable):
-		f.noteLoss(now)
+		f.recordMirrorOutage(now)
 	}
 }
 
-// noteFirstList remembers that the store failed a daemon that knows nothing, and tells whether it is to be asked again beside
-// silent mirrors.
-func (f *FailoverSource) noteFirstList(s source) bool {
+// retryFirstList records that the store failed a first list, and reports whether it is to be asked again beside
+// unreachable mirrors.
+func (f *FailoverSource) retryFirstList(s source) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if !s.direct || f.known == 0 || now.Sub(f.mirrorAnswered) < directPause {
+	if !s.isStore || f.mirrorCount == 0 || now.Sub(f.mirrorOutageAt) < storeRetryPause {
 		return false
 	}
-	f.directDue = now.Add(min(directAlonePause, firstListPause<<min(f.firstLists, 10)))
-	f.firstLists++
+	f.storeRetryAt = now.Add(min(storeRetryPauseAlone, firstListRetryPause<<min(f.firstListFailures, 10)))
+	f.firstListFailures++
 	return true
 }
 
-// noteLoss remembers that a mirror has lost the store. The first of many to say so puts the reader's own question off, each
-// reader's to another time. It is called with the lock held.
-func (f *FailoverSource) noteLoss(now time.Time) {
-	first := now.Sub(f.mirrorAnswered) >= directPause
-	f.mirrorAnswered = now
-	if first && f.known > manyMirrors && !now.Before(f.directDue) {
-		f.directDue = now.Add(rand.N(f.leaveAloneFor(now)))
+// recordMirrorOutage records that a mirror can't read the store. With many mirrors, the first report delays this reader's
+// own request to the store by a random time. The caller holds mu.
+func (f *FailoverSource) recordMirrorOutage(now time.Time) {
+	first := now.Sub(f.mirrorOutageAt) >= storeRetryPause
+	f.mirrorOutageAt = now
+	if first && f.mirrorCount > manyMirrors && !now.Before(f.storeRetryAt) {
+		f.storeRetryAt = now.Add(rand.N(f.storeBackoff(now)))
 	}
 }
 
-// noteRound remembers whether any source answered a watch.
-func (f *FailoverSource) noteRound(answered bool) {
+// recordRound records whether any source answered a poll.
+func (f *FailoverSource) recordRound(answered bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if answered {
-		f.unanswered = 0
+		f.failedRounds = 0
 	} else {
-		f.unanswered++
+		f.failedRounds++
 	}
 }
 
-// settle notes which source answered; problem tells why those before it did not.
-func (f *FailoverSource) settle(name, before string, problem error) {
+// setCurrent records the source that answered and logs a change of source. problem is why those before it did not.
+func (f *FailoverSource) setCurrent(name, before string, problem error) {
 	if name == before {
 		return
 	}
