--- a/internal/transport/call/call.go
+++ b/internal/transport/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds what a request says of itself, in rookpass's own terms. The adapter of a wire format
-// decodes headers into these types once.
+// Package call defines the metadata of requests and responses, independent of the wire format. A HeaderCodec converts
+// it from and to headers.
 package call
 
 import (
@@ -15,75 +15,75 @@
 	Tokens int64
 }
 
-// RequestInfo is what a request's headers say.
+// RequestInfo is the metadata in the headers of a caller's request.
 type RequestInfo struct {
-	// ID names one attempt of a caller. It is unique.
+	// ID is unique for each attempt of a caller.
 	ID string
-	// Timeout is how long the caller will wait from now; 0 means that it did not say.
+	// Timeout is how long the caller waits, counted from the request; 0 if unspecified.
 	Timeout time.Duration
-	// Program and Session tell which agent program and which line of its turns the request belongs to; both
-	// may be empty.
+	// Program and Session identify the agent program and the line of its turns that the request belongs to; both may
+	// be empty.
 	Program string
 	Session string
-	// PreviousTurn is the ID of the turn that this one goes on from; empty at the start of a line.
+	// PreviousTurn is the ID of the turn that this one continues; empty for the first turn of a line.
 	PreviousTurn string
-	// LastEvent is the id of the last event that the caller got of a stream that broke off; the answer goes on
-	// behind it. Empty for an answer from its start.
+	// LastEvent is the ID of the last event that the caller received of an interrupted stream, which is resumed after
+	// it; empty for a new stream.
 	LastEvent string
-	// TimeBudget is how long from now the whole program should take at most; 0 where that is not said.
+	// TimeBudget is the time in which the whole program should finish, counted from the request; 0 if unspecified.
 	TimeBudget time.Duration
-	// HasBudget tells whether TokenBudget, the tokens that all turns of the program may generate, is set.
+	// HasBudget reports whether TokenBudget is set: the number of tokens that all turns of the program may generate.
 	HasBudget   bool
 	TokenBudget int64
 	// PromptTokens and MaxOutputTokens are the size of a turn.
 	PromptTokens    int64
 	MaxOutputTokens int64
-	// LikelyOutputTokens is the caller's guess of the tokens out: right in the median and often far off; 0 where
+	// LikelyOutputTokens is the caller's estimate of the output tokens: right in the median, but often far off; 0 if
 	// there is none.
 	LikelyOutputTokens int64
-	// Parts are the prompt's parts in order.
+	// Parts are the parts of the prompt, in order.
 	Parts []PromptPart
-	// Key is the hash of the key that proves the caller's organisation. HasKey is not set where the caller sent none, or
-	// more than one.
+	// Key is the hash of the API key that identifies the caller's organisation. HasKey is false if the caller sent none,
+	// or more than one.
 	Key    secret.Hash
 	HasKey bool
 }
 
-// ForwardInfo is what rookpass says to the one server that it sends a request to.
+// ForwardInfo is the metadata that is added to a request for the server that it is sent to.
 type ForwardInfo struct {
-	// Timeout is how long the server may work; 0 means no bound.
+	// Timeout is how long the server may work; 0 means no limit.
 	Timeout time.Duration
-	// Server is the name of the server that is meant; all its starts share it.
+	// Server is the name of the intended server, without its incarnation.
 	Server string
-	// LastEvent is the id of the event behind which a stream is to go on; empty from its start.
+	// LastEvent is the ID of the event after which a stream is to be resumed; empty for a new stream.
 	LastEvent string
-	// Organisation is the one that the caller's key proved; empty where none was asked for.
+	// Organisation is the authenticated organisation of the caller; empty if callers need no key.
 	Organisation string
 }
 
-// ResponseInfo is what the headers of a backend server's answer say.
+// ResponseInfo is the metadata in the headers of a backend server's response.
 type ResponseInfo struct {
-	// ID is the request that the answer belongs to.
+	// ID is the ID of the request that the response belongs to.
 	ID string
-	// Signed tells whether a server signed the answer.
+	// Signed reports whether a server signed the response.
 	Signed bool
-	// NotRun is the server's word that it did not and will not run the request.
+	// NotRun reports that the server did not and will not run the request.
 	NotRun bool
-	// KeepAlive is how long the server keeps the connection when idle; 0 means that it did not say.
+	// KeepAlive is how long the server keeps an idle connection open; 0 if unspecified.
 	KeepAlive time.Duration
 }
 
 // HeaderCodec reads and writes the headers of one wire format.
 type HeaderCodec interface {
-	// DecodeRequest decodes a caller's request.
+	// DecodeRequest decodes the headers of a caller's request.
 	DecodeRequest(header http.Header) (RequestInfo, error)
-	// ForwardedHeaders returns the headers that go along to a server: not those of one connection, nor those that
-	// only rookpass may set.
+	// ForwardedHeaders returns the headers that are forwarded to a server: without hop-by-hop headers and those that are
+	// reserved for rookpass.
 	ForwardedHeaders(header http.Header) http.Header
-	// AddForwardInfo adds what only the one server that is sent to is told.
+	// AddForwardInfo adds the headers for the server that a request is sent to.
 	AddForwardInfo(outgoing http.Header, to ForwardInfo)
-	// DecodeResponse decodes a server's answer.
+	// DecodeResponse decodes the headers of a server's response.
 	DecodeResponse(header http.Header, status int) ResponseInfo
-	// SetRequestID names the request in an answer of rookpass's own.
+	// SetRequestID sets the request ID in the headers of a response.
 	SetRequestID(header http.Header, id string)
 }
--- a/internal/transport/httpclient/httpclient.go
+++ b/internal/transport/httpclient/httpclient.go
@@ -1,5 +1,5 @@
-// Package httpclient sends single HTTP requests to IP addresses and says of each failure whether the request
-// may have arrived. It never sends a request twice by itself.
+// Package httpclient sends single HTTP requests to IP addresses. Each failure tells whether the request may have been
+// received. Requests are never retried.
 package httpclient
 
 import (
@@ -19,35 +19,35 @@
 	"go.opentelemetry.io/otel/propagation"
 )
 
-// Bounds on connections.
+// Limits of connections.
 const (
 	dialTimeout    = 2 * time.Second
 	maxConnections = 4096
 )
 
 var (
-	// ErrNotSent means that nothing of the request left this process.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.New("request not sent")
-	// ErrNoResponse means that the request may have arrived, but no whole answer came.
-	ErrNoResponse = errors.New("no answer")
-	// ErrTooLarge means that the answer's body is above the bound.
+	// ErrNoResponse means that the request may have been received, but no complete response arrived.
+	ErrNoResponse = errors.New("no response")
+	// ErrTooLarge means that the body of the response exceeds the limit.
 	ErrTooLarge = errors.New("answer is too large")
 )
 
 // DialFunc connects to an IP:port address.
 type DialFunc func(addr string) (net.Conn, error)
 
-// DialTCP is the DialFunc of a real daemon.
+// DialTCP is the DialFunc for TCP.
 func DialTCP(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, dialTimeout) }
 
-// dialError marks a failure to connect: nothing of the request left.
+// dialError marks a failure to connect, before which no byte of the request was sent.
 type dialError struct{ err error }
 
 func (e *dialError) Error() string { return "connecting: " + e.err.Error() }
 func (e *dialError) Unwrap() error { return e.err }
 
-// idleConn closes itself when nothing has been read for a time, so that a hung server is noticed in the
-// middle of a stream too.
+// idleConn closes itself when nothing has been read or written for limit, which detects a hung server in the middle of a
+// stream too.
 type idleConn struct {
 	net.Conn
 	timer *time.Timer
@@ -72,25 +72,25 @@
 	return c.Conn.Close()
 }
 
-// Client sends HTTP requests to one address. It never sends a request twice by itself.
+// Client sends HTTP requests to one address.
 type Client struct {
 	addr string
 	dial DialFunc
-	// pooled keeps connections. Requests that must not be repeated get one each: a kept connection that the server has
-	// closed meanwhile could not tell "not run" from "may have run".
+	// pooled sends requests over kept connections. At-most-once requests get a connection each: a failure on a kept
+	// connection that the server has closed meanwhile would leave open whether the request ran.
 	pooled *fasthttp.HostClient
 }
 
-// New returns a client of one address. idle bounds the time without any byte from it.
+// New returns a client of one address. idle is the longest time without any byte on a connection.
 func New(addr string, dial DialFunc, idle time.Duration) *Client {
 	connect := func(addr string) (net.Conn, error) {
 		conn, err := dial(addr)
 		if err != nil {
 			return nil, &dialError{err: err}
 		}
-		watched := &idleConn{Conn: conn, limit: idle}
-		watched.timer = time.AfterFunc(idle, func() { _ = conn.Close() })
-		return watched, nil
+		withTimeout := &idleConn{Conn: conn, limit: idle}
+		withTimeout.timer = time.AfterFunc(idle, func() { _ = conn.Close() })
+		return withTimeout, nil
 	}
 	pooled := &fasthttp.HostClient{
 		Addr:                          addr,
@@ -106,36 +106,36 @@
 	return &Client{addr: addr, dial: connect, pooled: pooled}
 }
 
-// Addr returns the address.
+// Addr returns the client's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Close ends the kept connections that carry no request.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
 }
 
-// Request is one HTTP request.
+// Request is an HTTP request.
 type Request struct {
 	Method string
-	// Path may carry a query.
+	// Path may include a query.
 	Path   string
 	Body   []byte
 	Header map[string]string
-	// AtMostOnce marks a request that must not be repeated: it gets a connection of its own.
+	// AtMostOnce requests must not be repeated; each uses a connection of its own.
 	AtMostOnce bool
 }
 
 // Response is an HTTP response whose body is still to be read.
 type Response struct {
 	Status int
-	// RetryAfter is the server's Retry-After header, 0 without one.
+	// RetryAfter is the value of the Retry-After header; 0 if absent.
 	RetryAfter time.Duration
 	Body       io.Reader
-	// Close must be called once the body is read or given up.
+	// Close must be called once the body is read or no longer needed.
 	Close func()
 }
 
-// Do sends a request and returns when the response's headers are there, or ctx ends.
+// Do sends a request and returns when the headers of its response have arrived or ctx ends.
 func (c *Client) Do(ctx context.Context, r Request) (*Response, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	req.SetRequestURI("http://" + c.addr + r.Path)
@@ -147,8 +147,8 @@
 	propagation.TraceContext{}.Inject(ctx, headerCarrier{&req.Header})
 	send, closeConn := func() error { return c.pooled.Do(req, resp) }, func() {}
 	if r.AtMostOnce {
-		own := &ownConn{}
-		send, closeConn = func() error { return c.sendOnce(ctx, own, req, resp) }, own.close
+		conn := &singleUseConn{}
+		send, closeConn = func() error { return c.sendOnce(ctx, conn, req, resp) }, conn.close
 	}
 	result := make(chan error, 1)
 	go func() { result <- send() }()
@@ -162,7 +162,7 @@
 	case err := <-result:
 		if err != nil {
 			release()
-			return nil, sendError(c.addr, err)
+			return nil, classifyError(c.addr, err)
 		}
 		return newResponse(resp, release), nil
 	case <-ctx.Done():
@@ -174,19 +174,18 @@
 	}
 }
 
-// ownConn is the connection of one request.
-type ownConn struct{ conn net.Conn }
+// singleUseConn is the connection of one request.
+type singleUseConn struct{ conn net.Conn }
 
-func (c *ownConn) close() {
+func (c *singleUseConn) close() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 	}
 }
 
-// sendOnce sends a request over a connection of its own, which the release of the response closes. Where ctx ends while
-// the connection is being made nothing is sent: a VM that was frozen then must not run a call that was given up
-// meanwhile, behind calls that came after it.
-func (c *Client) sendOnce(ctx context.Context, own *ownConn, req *fasthttp.Request, resp *fasthttp.Response) error {
+// sendOnce sends a request over a connection of its own, which is closed with the response. Nothing is sent if ctx ends
+// during the dial: a VM that was frozen then must not run a cancelled call after later calls of the same program.
+func (c *Client) sendOnce(ctx context.Context, own *singleUseConn, req *fasthttp.Request, resp *fasthttp.Response) error {
 	conn, err := c.dial(c.addr)
 	if err != nil {
 		return err
@@ -221,8 +220,8 @@
 	}
 }
 
-// sendError tells whether a request that failed may have arrived.
-func sendError(addr string, err error) error {
+// classifyError wraps err in ErrNotSent or ErrNoResponse.
+func classifyError(addr string, err error) error {
 	var dial *dialError
 	if errors.As(err, &dial) || errors.Is(err, fasthttp.ErrNoFreeConns) || !guard.Enabled(guard.UncertainVerdict) {
 		return fmt.Errorf("%w: %s: %w", ErrNotSent, addr, err)
@@ -230,7 +229,7 @@
 	return fmt.Errorf("%w: %s: %w", ErrNoResponse, addr, err)
 }
 
-// ReadAll returns the whole body and releases the response. A body above limit bytes is ErrTooLarge.
+// ReadAll returns the whole body and closes the response. A body above limit bytes is ErrTooLarge.
 func (r *Response) ReadAll(ctx context.Context, limit int64) ([]byte, error) {
 	type outcome struct {
 		body []byte
@@ -253,7 +252,7 @@
 	}
 }
 
-// headerCarrier lets the trace context travel in request headers.
+// headerCarrier injects the trace context into request headers.
 type headerCarrier struct{ header *fasthttp.RequestHeader }
 
 func (c headerCarrier) Get(key string) string { return string(c.header.Peek(key)) }
--- a/internal/transport/httpclient/once_test.go
+++ b/internal/transport/httpclient/once_test.go
@@ -14,13 +14,9 @@
 	"github.com/rookpass/rookpass/internal/transport/httpclient"
 )
 
-// What was seen: a call that must not run twice took effect 6 ms after its frozen owner had thawed, behind a call of the
-// same program that came after it. Order: the owner froze while it connected to the tool; the call was given up, another
-// owner took over and ran the next one; at the thaw the connection was there, and the request went out. Cause: giving a
-// request up did not stop one whose connection was still being made.
-
-// TestGivenUpRequestIsNotSent: ctx ends while the connection is being made.
-func TestGivenUpRequestIsNotSent(t *testing.T) {
+// TestCancelledRequestIsNotSent guards against a request that is sent after its cancellation because the connection was
+// still being made: it would run after later calls of the same program.
+func TestCancelledRequestIsNotSent(t *testing.T) {
 	var arrived atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { arrived.Add(1) }))
 	defer server.Close()
@@ -40,7 +36,7 @@
 	assert.Equal(t, arrived.Load(), int64(0))
 }
 
-// closing tells when its connection is closed.
+// closing is a connection that signals when it is closed.
 type closing struct {
 	net.Conn
 	closed chan struct{}
@@ -51,8 +47,7 @@
 	return c.Conn.Close()
 }
 
-// TestRequestOfItsOwnConnection: a body is sent and read whole, and each request has a connection.
-func TestRequestOfItsOwnConnection(t *testing.T) {
+func TestAtMostOnceRequestsUseOwnConnections(t *testing.T) {
 	var dials atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Retry-After", "2")
--- a/internal/transport/network/dial.go
+++ b/internal/transport/network/dial.go
@@ -10,19 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// DialContext connects to an address; http.Transport and the pools take it.
+// DialContext connects to an address. It has the signature of http.Transport.DialContext.
 type DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewDialer returns a DialContext for TCP whose connections break when sent bytes stay unacknowledged for
-// silence: behind a cut or a VM without power nothing else ends them.
-func NewDialer(connect, silence time.Duration) DialContext {
+// NewDialer returns a DialContext for TCP. Its connections fail when sent bytes stay unacknowledged for the given time,
+// which detects network cuts and VMs without power.
+func NewDialer(connectTimeout, ackTimeout time.Duration) DialContext {
 	dialer := net.Dialer{
-		Timeout:   connect,
+		Timeout:   connectTimeout,
 		KeepAlive: -1,
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var optionErr error
 			err := raw.Control(func(fd uintptr) {
-				optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+				optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 			})
 			return errors.Join(err, optionErr)
 		},
@@ -30,13 +30,13 @@
 	return dialer.DialContext
 }
 
-// IsDialError tells whether err is a failure to connect, so that nothing of a request left.
+// IsDialError reports whether err is a failure to connect, so that no byte of a request was sent.
 func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// IsOpen tells whether an idle connection is still usable: no byte and no end has come on it.
+// IsOpen reports whether an idle connection is usable: neither data nor an end of stream has arrived on it.
 func IsOpen(conn net.Conn) bool {
 	withRaw, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/transport/network/memnet/deadline.go
+++ b/internal/transport/network/memnet/deadline.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// timed is an end of a connection whose lifted read deadline stays lifted. The pipe below it may still carry out a
-// deadline that was replaced at the same moment, and would then fail every read that follows.
-type timed struct {
+// deadlineConn is an end of a connection with reliable read deadlines. The underlying pipe may still apply a deadline
+// that was replaced at the moment it passed, and then fails all later reads.
+type deadlineConn struct {
 	net.Conn
 
-	mu    sync.Mutex
-	until time.Time
+	mu           sync.Mutex
+	readDeadline time.Time
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *timed) SetReadDeadline(t time.Time) error {
+func (c *deadlineConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = t
+	c.readDeadline = t
 	return c.Conn.SetReadDeadline(t)
 }
 
 // SetDeadline implements net.Conn.
-func (c *timed) SetDeadline(t time.Time) error {
+func (c *deadlineConn) SetDeadline(t time.Time) error {
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
 // Read implements net.Conn.
-func (c *timed) Read(p []byte) (int, error) {
+func (c *deadlineConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		if !isTimeout(err) || !c.renew() {
+		if !isTimeout(err) || !c.restoreDeadline() {
 			return n, err
 		}
 	}
 }
 
-// renew sets the deadline in force again, or returns false where it has passed.
-func (c *timed) renew() bool {
+// restoreDeadline sets the current deadline again. It returns false if that has passed.
+func (c *deadlineConn) restoreDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.until.IsZero() && !time.Now().Before(c.until) {
+	if !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline) {
 		return false
 	}
-	return c.Conn.SetReadDeadline(c.until) == nil
+	return c.Conn.SetReadDeadline(c.readDeadline) == nil
 }
 
 func isTimeout(err error) bool {
--- a/internal/transport/network/memnet/deadline_test.go
+++ b/internal/transport/network/memnet/deadline_test.go
@@ -10,9 +10,9 @@
 	"github.com/rookpass/rookpass/internal/transport/network/memnet"
 )
 
-// TestLiftedDeadlineStaysLifted: also where it is lifted at the moment when it passes, as net/http's server does
-// between two requests.
-func TestLiftedDeadlineStaysLifted(t *testing.T) {
+// TestClearedDeadlineStaysCleared clears deadlines at the moment they pass, as the server of net/http does between two
+// requests.
+func TestClearedDeadlineStaysCleared(t *testing.T) {
 	fabric := memnet.New()
 	listener, err := fabric.Listen("server", "server:1")
 	assert.NilError(t, err)
@@ -21,7 +21,7 @@
 		go func() {
 			conn, err := fabric.Dial(context.Background(), "client", "server:1")
 			if err == nil {
-				<-time.After(2 * time.Millisecond) // the reader waits by then
+				<-time.After(2 * time.Millisecond) // the reader blocks by then
 				_, err = conn.Write([]byte("x"))
 			}
 			dialed <- err
--- a/internal/transport/network/memnet/memnet.go
+++ b/internal/transport/network/memnet/memnet.go
@@ -1,5 +1,4 @@
-// Package memnet is a network in memory for tests in virtual time. Hosts can be cut from one another, frozen
-// and killed.
+// Package memnet implements an in-memory network for tests in virtual time. Hosts can be partitioned, frozen and killed.
 package memnet
 
 import (
@@ -12,10 +11,10 @@
 	"google.golang.org/grpc/test/bufconn"
 )
 
-// bufferBytes is the size of a connection's buffer.
+// bufferBytes is the buffer size of a connection, in each direction.
 const bufferBytes = 64 << 10
 
-// errRefused is what a dialer sees when nobody listens or the way is cut.
+// errRefused is returned by Dial if nobody listens or the hosts are partitioned.
 var errRefused = errors.New("connection refused")
 
 // Fabric connects hosts. Use New.
@@ -23,12 +22,12 @@
 	mu        sync.Mutex
 	listeners map[string]*listener
 	conns     map[*conn]struct{}
-	// cuts holds pairs of hosts between which no connection can be made.
-	cuts map[[2]string]bool
+	// partitions holds the pairs of hosts that can't connect.
+	partitions map[[2]string]bool
 	// frozen holds, for each frozen host, a channel that is closed when it thaws.
-	frozen map[string]chan struct{}
-	thawed time.Time
-	// dead holds hosts that were killed: nothing they still do gets out.
+	frozen   map[string]chan struct{}
+	lastThaw time.Time
+	// dead holds the killed hosts, which can't connect.
 	dead map[string]bool
 }
 
@@ -36,11 +35,10 @@
 func New() *Fabric {
 	return &Fabric{
 		listeners: map[string]*listener{}, conns: map[*conn]struct{}{},
-		cuts: map[[2]string]bool{}, frozen: map[string]chan struct{}{}, dead: map[string]bool{},
+		partitions: map[[2]string]bool{}, frozen: map[string]chan struct{}{}, dead: map[string]bool{},
 	}
 }
 
-// listener is a host's listener.
 type listener struct {
 	*bufconn.Listener
 	host    string
@@ -48,13 +46,12 @@
 	fabric  *Fabric
 }
 
-// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &timed{Conn: conn}, nil
+	return &deadlineConn{Conn: conn}, nil
 }
 
 // Close implements net.Listener.
@@ -67,23 +64,22 @@
 	return l.Listener.Close()
 }
 
-// conn is the dialer's end of a connection. While either host is frozen nothing arrives: reads wait, and what
-// is written is kept. Writes themselves never wait, as their callers may hold locks, and time stands still in
-// a bubble while a goroutine waits for a lock.
+// conn is the dialer's end of a connection. While either host is frozen, reads block and writes are buffered. Writes
+// never block: their callers may hold locks, and virtual time does not advance while a goroutine waits for a lock.
 type conn struct {
 	net.Conn
 	fabric   *Fabric
 	from, to string
 
-	mu   sync.Mutex
-	kept []byte
+	mu      sync.Mutex
+	pending []byte
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	for {
-		frozen := c.fabric.frozenHost(c.from, c.to)
+		frozen := c.fabric.thawChan(c.from, c.to)
 		if frozen == nil {
 			return n, err
 		}
@@ -95,27 +91,27 @@
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	frozen := c.fabric.frozenHost(c.from, c.to)
-	if frozen == nil && len(c.kept) == 0 {
+	frozen := c.fabric.thawChan(c.from, c.to)
+	if frozen == nil && len(c.pending) == 0 {
 		return c.Conn.Write(p)
 	}
-	if len(c.kept) == 0 {
+	if len(c.pending) == 0 {
 		go c.deliver()
 	}
-	c.kept = append(c.kept, p...)
+	c.pending = append(c.pending, p...)
 	return len(p), nil
 }
 
-// deliver writes what was kept once both hosts have thawed.
+// deliver writes the buffered data once both hosts have thawed.
 func (c *conn) deliver() {
 	for {
-		if frozen := c.fabric.frozenHost(c.from, c.to); frozen != nil {
+		if frozen := c.fabric.thawChan(c.from, c.to); frozen != nil {
 			<-frozen
 			continue
 		}
 		c.mu.Lock()
-		_, _ = c.Conn.Write(c.kept)
-		c.kept = nil
+		_, _ = c.Conn.Write(c.pending)
+		c.pending = nil
 		c.mu.Unlock()
 		return
 	}
@@ -129,8 +125,8 @@
 	return c.Conn.Close()
 }
 
-// frozenHost returns the channel that is closed when the first frozen one of some hosts thaws, or nil.
-func (f *Fabric) frozenHost(hosts ...string) <-chan struct{} {
+// thawChan returns the channel that is closed when the first frozen one of the hosts thaws; nil if none is frozen.
+func (f *Fabric) thawChan(hosts ...string) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, host := range hosts {
@@ -141,7 +137,7 @@
 	return nil
 }
 
-// Listen opens an address on a host.
+// Listen opens a listener at an address on a host.
 func (f *Fabric) Listen(host, address string) (net.Listener, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +153,7 @@
 func (f *Fabric) Dial(ctx context.Context, host, address string) (net.Conn, error) {
 	f.mu.Lock()
 	l := f.listeners[address]
-	cut := l == nil || f.dead[host] || f.cuts[pair(host, l.host)]
+	cut := l == nil || f.dead[host] || f.partitions[hostPair(host, l.host)]
 	f.mu.Unlock()
 	if cut {
 		return nil, errRefused
@@ -166,47 +162,47 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: &timed{Conn: raw}, fabric: f, from: host, to: l.host}
+	c := &conn{Conn: &deadlineConn{Conn: raw}, fabric: f, from: host, to: l.host}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.listeners[address] != l || f.dead[host] || f.cuts[pair(host, l.host)] {
-		_ = raw.Close() // a host was killed or cut off while they connected
+	if f.listeners[address] != l || f.dead[host] || f.partitions[hostPair(host, l.host)] {
+		_ = raw.Close() // a host was killed or partitioned meanwhile
 		return nil, errRefused
 	}
 	f.conns[c] = struct{}{}
 	return c, nil
 }
 
-func pair(a, b string) [2]string {
+func hostPair(a, b string) [2]string {
 	if a > b {
 		a, b = b, a
 	}
 	return [2]string{a, b}
 }
 
-// Partition ends all connections between two hosts and refuses new ones until Heal.
+// Partition closes all connections between two hosts and refuses new ones until Heal.
 func (f *Fabric) Partition(a, b string) {
 	f.mu.Lock()
-	f.cuts[pair(a, b)] = true
+	f.partitions[hostPair(a, b)] = true
 	f.mu.Unlock()
-	f.closeConns(func(c *conn) bool { return pair(c.from, c.to) == pair(a, b) })
+	f.closeConns(func(c *conn) bool { return hostPair(c.from, c.to) == hostPair(a, b) })
 }
 
-// Heal lets two hosts connect again.
+// Heal ends a partition.
 func (f *Fabric) Heal(a, b string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.cuts, pair(a, b))
+	delete(f.partitions, hostPair(a, b))
 }
 
-// Restart lets a killed host connect again, as a new process.
+// Restart lets a killed host connect again.
 func (f *Fabric) Restart(host string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.dead, host)
 }
 
-// Kill ends all connections and listeners of a host, as when its process dies.
+// Kill closes all connections and listeners of a host, as when its process dies.
 func (f *Fabric) Kill(host string) {
 	f.mu.Lock()
 	f.dead[host] = true
@@ -224,7 +220,7 @@
 	f.Thaw(host)
 }
 
-// Freeze stops everything that a host sends and receives until Thaw.
+// Freeze suspends a host's network traffic until Thaw.
 func (f *Fabric) Freeze(host string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -233,22 +229,22 @@
 	}
 }
 
-// Thaw lets a frozen host go on with what it was doing.
+// Thaw resumes a frozen host's traffic.
 func (f *Fabric) Thaw(host string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if frozen := f.frozen[host]; frozen != nil {
 		close(frozen)
 		delete(f.frozen, host)
-		f.thawed = time.Now()
+		f.lastThaw = time.Now()
 	}
 }
 
-// LastThaw returns when a host thawed last: what was written before its freeze arrives only then.
+// LastThaw returns the time of the last Thaw. Data written before the freeze arrives only then.
 func (f *Fabric) LastThaw() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.thawed
+	return f.lastThaw
 }
 
 func (f *Fabric) closeConns(match func(*conn) bool) {
@@ -265,7 +261,7 @@
 	}
 }
 
-// Host is a host's view of the fabric. It implements network.Network.
+// Host is the network of one host. It implements network.Network.
 type Host struct {
 	Fabric *Fabric
 	Name   string
--- a/internal/transport/network/network.go
+++ b/internal/transport/network/network.go
@@ -10,12 +10,11 @@
 	"github.com/rookpass/rookpass/internal/base/tlsfiles"
 )
 
-// Network is how a daemon reaches callers, peers and backend servers. Tests put connections in memory in its
-// place.
+// Network connects a daemon with callers, peers and backend servers. Tests replace it by an in-memory network.
 type Network interface {
-	// ListenCallers listens for callers and operators over gRPC.
+	// ListenCallers listens for gRPC connections of callers and operators.
 	ListenCallers(address string) (net.Listener, error)
-	// ListenHTTP listens for plain lookups, health and metrics.
+	// ListenHTTP listens for HTTP connections: lookups, health checks and metrics.
 	ListenHTTP(address string) (net.Listener, error)
 	// ListenPeers listens for other daemons.
 	ListenPeers(address string) (net.Listener, error)
@@ -25,12 +24,11 @@
 	DialServer(address string) (net.Conn, error)
 }
 
-// serverDialTimeout bounds a connection to a backend server or the object API.
 const serverDialTimeout = 2 * time.Second
 
-// TCP is the Network of a real daemon.
+// TCP implements Network over TCP.
 type TCP struct {
-	// Files are the keys; nil means plain text.
+	// Files holds the TLS keys; nil means plain text.
 	Files *tlsfiles.Files
 }
 
@@ -40,7 +38,7 @@
 // ListenHTTP implements Network.
 func (n TCP) ListenHTTP(address string) (net.Listener, error) { return n.listen(address, "http/1.1") }
 
-// listen offers one protocol; a client that asks for another is refused in the handshake.
+// listen offers a single ALPN protocol; the handshake fails for clients that request another one.
 func (n TCP) listen(address, protocol string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil || n.Files == nil {
@@ -60,7 +58,7 @@
 	return tls.NewListener(listener, n.Files.MutualServer()), nil
 }
 
-// DialPeer implements Network. Keys are read for each connection, so a new one uses the newest.
+// DialPeer implements Network. Keys are read for each connection, so a new connection uses the latest ones.
 func (n TCP) DialPeer(ctx context.Context, address string) (net.Conn, error) {
 	if n.Files == nil {
 		return new(net.Dialer).DialContext(ctx, "tcp", address)
--- a/internal/transport/peerlink/budget.go
+++ b/internal/transport/peerlink/budget.go
@@ -3,37 +3,37 @@
 import "sync"
 
 const (
-	// secondShare of the calls may be sent a second time. Where all answers are late because a shared link is full, second calls
-	// would fill it further, and nothing would ever empty it.
-	secondShare = 0.1
-	// mostSeconds may be sent at once: a daemon that is cut off has lost its way to all others.
-	mostSeconds = 60
+	// hedgeShare is the share of calls that may be hedged. When all replies are late because a shared link is full, more
+	// hedged calls would keep it full.
+	hedgeShare = 0.1
+	// maxHedgeTokens is the burst of hedged calls: a daemon that is cut off loses its direct paths to all others at once.
+	maxHedgeTokens = 60
 )
 
-// budget bounds the calls that are sent over a second path.
-type budget struct {
-	mu   sync.Mutex
-	left float64
-	sent int
+// hedgeBudget is a token bucket that limits the calls sent over a second path.
+type hedgeBudget struct {
+	mu     sync.Mutex
+	tokens float64
+	sent   int
 }
 
-func newBudget() *budget { return &budget{left: mostSeconds} }
+func newHedgeBudget() *hedgeBudget { return &hedgeBudget{tokens: maxHedgeTokens} }
 
-// earn counts a call.
-func (b *budget) earn() {
+// addCall adds the share of one call to the budget.
+func (b *hedgeBudget) addCall() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(mostSeconds, b.left+secondShare)
+	b.tokens = min(maxHedgeTokens, b.tokens+hedgeShare)
 }
 
-// spend tells whether a call may be sent a second time.
-func (b *budget) spend() bool {
+// spend takes a token and reports whether there was one.
+func (b *hedgeBudget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	b.sent++
 	return true
 }
--- a/internal/transport/peerlink/budget_test.go
+++ b/internal/transport/peerlink/budget_test.go
@@ -13,18 +13,18 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// Slow is an RPC service whose answers take their time.
+// Slow is an RPC service with delayed replies.
 type Slow struct{ takes time.Duration }
 
-// Say answers late.
+// Say returns text after the delay.
 func (s *Slow) Say(text *string, reply *string) error {
 	time.Sleep(s.takes)
 	*reply = *text
 	return nil
 }
 
-// TestSecondCallsAreFew: where all answers are late, as over a link that is full, calls are not all sent twice.
-func TestSecondCallsAreFew(t *testing.T) {
+// TestHedgedCallsAreBounded checks that most calls are sent once while all replies are late, as over a full link.
+func TestHedgedCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		listener, err := fabric.Listen("server", "server:1")
@@ -34,8 +34,8 @@
 			fabric.Kill("server")
 			time.Sleep(time.Minute) // timers of closed connections run out
 		})
-		var direct, detour atomic.Int64
-		second := dialer(fabric, "helper", &detour)
+		var direct, fallback atomic.Int64
+		second := dialer(fabric, "helper", &fallback)
 		set := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(second, 100*time.Millisecond)
 		const calls = 2000
 		var work sync.WaitGroup
@@ -51,6 +51,6 @@
 		work.Wait()
 		assert.Equal(t, over.Load(), int64(calls))
 		sent := set.HedgedCalls()
-		assert.Assert(t, sent > 0 && sent <= 60+calls/10, "%d of %d calls were sent twice", sent, calls)
+		assert.Assert(t, sent > 0 && sent <= 60+calls/10, "%d of %d calls were hedged", sent, calls)
 	})
 }
--- a/internal/transport/peerlink/idle_test.go
+++ b/internal/transport/peerlink/idle_test.go
@@ -15,7 +15,7 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// openConns counts the connections that a dialer has made and that are still open.
+// openConns is a connection that is counted while it is open.
 type openConns struct {
 	net.Conn
 	open *atomic.Int64
@@ -40,9 +40,8 @@
 	}
 }
 
-// TestConnectionsAtRestAreClosed: a daemon that calls each of many others now and then keeps connections to those alone that
-// it has called of late.
-func TestConnectionsAtRestAreClosed(t *testing.T) {
+// TestIdleConnectionsAreClosed checks that a connection is kept for a while after its last call, and then closed.
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		var open atomic.Int64
@@ -52,10 +51,10 @@
 		link := set.LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, open.Load(), int64(1), "a program's next turn finds the connection")
+		assert.Equal(t, open.Load(), int64(1), "the connection is kept for the next turn of a program")
 		assert.NilError(t, say(t, link, time.Second))
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, open.Load(), int64(1), "it rests from its last call on")
+		assert.Equal(t, open.Load(), int64(1), "the idle time counts from the last call")
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, open.Load(), int64(0))
 		assert.NilError(t, say(t, link, time.Second))
@@ -63,8 +62,8 @@
 	})
 }
 
-// TestLongCallIsNoRest: a watch that waits for long keeps its connection.
-func TestLongCallIsNoRest(t *testing.T) {
+// TestLongCallKeepsItsConnection checks that the connection of a pending long call is not closed as idle.
+func TestLongCallKeepsItsConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		var open atomic.Int64
@@ -80,8 +79,7 @@
 	})
 }
 
-// BenchmarkConnection tells what a daemon holds for a connection that another one has made: goroutines' stacks, buffers and
-// what the encoding knows of its types.
+// BenchmarkConnection measures the memory held for an incoming connection: stacks, buffers and gob types.
 func BenchmarkConnection(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
@@ -105,18 +103,18 @@
 	b.ReportMetric(float64(held()-before)/float64(len(links)), "held-B/op")
 }
 
-// Bulk is an RPC service whose answers are as large as asked for.
+// Bulk is an RPC service with replies of any size.
 type Bulk struct{}
 
-// Say answers with so many bytes.
+// Say returns size bytes.
 func (Bulk) Say(size *int, reply *[]byte) error {
 	*reply = make([]byte, *size)
 	return nil
 }
 
-// TestConnectionThatCarriedALargeAnswerGivesWay: both ends would keep buffers of that size for as long as it is used. Calls that
-// are under way on it end there.
-func TestConnectionThatCarriedALargeAnswerGivesWay(t *testing.T) {
+// TestConnectionIsReplacedAfterALargeReply checks that a connection with large buffers is replaced, and that pending
+// calls still end on it.
+func TestConnectionIsReplacedAfterALargeReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		slow := &Slow{takes: time.Second}
@@ -146,7 +144,7 @@
 		bulk(1 << 20)
 		bulk(1 << 10)
 		assert.Equal(t, dials.Load(), int64(2))
-		assert.Equal(t, open.Load(), int64(2), "a call is under way on the first")
+		assert.Equal(t, open.Load(), int64(2), "a call is pending on the first")
 		assert.NilError(t, <-ended)
 		synctest.Wait()
 		assert.Equal(t, open.Load(), int64(1))
--- a/internal/transport/peerlink/path.go
+++ b/internal/transport/peerlink/path.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	// restTime is how long a connection is kept without a call: a program's next turn mostly comes sooner. Kept for good, they
-	// would be as many as callers times daemons called.
-	restTime = 4 * time.Second
-	// largeAnswer bytes between two looks make a connection give way to a new one: both ends keep buffers of the largest message
-	// that it has carried.
-	largeAnswer = 64 << 10
+	// idleTimeout is how long a connection is kept without a call. Connections that are kept for good would be as many
+	// as callers times daemons called; most turns of a program follow the previous one sooner.
+	idleTimeout = 4 * time.Second
+	// largeResponseBytes is the number of bytes, read between the ends of two calls, above which a connection is
+	// replaced: both ends keep buffers of the size of the largest message that it has carried.
+	largeResponseBytes = 64 << 10
 )
 
-// path is the way to a daemon: a connection that is made when it is first needed and again after it broke.
+// path is a way to reach a daemon. Its connection is made on demand, and again after it failed.
 type path struct {
 	address string
 	dial    network.DialContext
 
-	mu      sync.Mutex
-	conn    *conn
-	dialing chan struct{}
-	failed  time.Time
-	lastErr error
-	// rest closes the connection when there has been no call for restTime.
-	rest *time.Timer
+	mu       sync.Mutex
+	conn     *conn
+	dialing  chan struct{}
+	failedAt time.Time
+	lastErr  error
+	// idleTimer closes the connection after idleTimeout without a call.
+	idleTimer *time.Timer
 }
 
-// conn is one connection of a path. Its calls are guarded by path.mu.
+// conn is a connection of a path. Its fields are guarded by path.mu.
 type conn struct {
 	client *rpc.Client
-	// calls are under way, or about to be.
-	calls int
-	// read counts the bytes that came.
-	read atomic.Int64
-	// seen is read as of the last call's end.
-	seen int64
+	// inFlight counts the calls that are pending or about to be sent.
+	inFlight int
+	// bytesRead counts the bytes received.
+	bytesRead atomic.Int64
+	// readAtLastCall is bytesRead at the end of the last call.
+	readAtLastCall int64
 }
 
-// countedConn counts what is read.
+// countedConn counts the bytes read.
 type countedConn struct {
 	net.Conn
 	read *atomic.Int64
@@ -64,19 +64,19 @@
 	return &path{address: address, dial: dial}
 }
 
-// call waits for the answer until ctx ends. The connection is given up when a call times out, since an answer
-// may never come on it.
+// call sends a call and waits for its reply until ctx ends. A call that times out closes the connection, since it may
+// never answer again.
 func (p *path) call(ctx context.Context, method string, args, reply any) error {
 	c, err := p.connect(ctx)
 	if err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrUnreachable, p.address, err)
 	}
-	defer p.leave(c)
+	defer p.release(c)
 	pending := c.client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-pending.Done:
-		var answered rpc.ServerError
-		if pending.Error != nil && !errors.As(pending.Error, &answered) {
+		var serverErr rpc.ServerError
+		if pending.Error != nil && !errors.As(pending.Error, &serverErr) {
 			p.drop(c)
 			return fmt.Errorf("%w: %s: %w", ErrUnreachable, p.address, pending.Error)
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-// connect returns the connection, for a call that leave must end. One caller dials; the others wait for it.
+// connect returns the connection for a call, which must end with release. One caller dials; the others wait for it.
 func (p *path) connect(ctx context.Context) (*conn, error) {
 	p.mu.Lock()
 	for p.conn == nil && p.dialing != nil {
@@ -104,78 +104,78 @@
 	}
 	defer p.mu.Unlock()
 	if p.conn == nil {
-		if p.lastErr != nil && time.Since(p.failed) < redialPause {
+		if p.lastErr != nil && time.Since(p.failedAt) < redialPause {
 			return nil, p.lastErr
 		}
-		if err := p.connectOnce(ctx); err != nil {
+		if err := p.dialLocked(ctx); err != nil {
 			return nil, err
 		}
 	}
-	p.conn.calls++
+	p.conn.inFlight++
 	return p.conn, nil
 }
 
-// connectOnce dials. It is called with the lock held, and gives it up meanwhile.
-func (p *path) connectOnce(ctx context.Context) error {
+// dialLocked dials. The caller holds mu, which is released during the dial.
+func (p *path) dialLocked(ctx context.Context) error {
 	dialing := make(chan struct{})
 	p.dialing = dialing
 	p.mu.Unlock()
 	dialCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), dialTimeout)
-	way, err := p.dial(dialCtx, "tcp", p.address)
+	netConn, err := p.dial(dialCtx, "tcp", p.address)
 	cancel()
 	p.mu.Lock()
 	p.dialing = nil
 	close(dialing)
 	p.lastErr = err
 	if err != nil {
-		p.failed = time.Now()
+		p.failedAt = time.Now()
 		return err
 	}
 	c := &conn{}
-	c.client = rpc.NewClient(countedConn{way, &c.read})
+	c.client = rpc.NewClient(countedConn{netConn, &c.bytesRead})
 	p.conn = c
 	return nil
 }
 
-// leave ends a call on a connection. One that has carried a large answer gives way to a new one, and is closed with the last
-// call on it.
-func (p *path) leave(c *conn) {
+// release ends a call on a connection. A connection that has carried a large response is replaced, and closed with its
+// last call.
+func (p *path) release(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.calls--
-	read := c.read.Load()
-	if p.conn == c && read-c.seen > largeAnswer {
+	c.inFlight--
+	read := c.bytesRead.Load()
+	if p.conn == c && read-c.readAtLastCall > largeResponseBytes {
 		p.conn = nil
 	}
-	c.seen = read
+	c.readAtLastCall = read
 	switch {
-	case c.calls > 0:
+	case c.inFlight > 0:
 	case p.conn != c:
-		_ = c.client.Close() // it may have been closed already
-	case p.rest == nil:
-		p.rest = time.AfterFunc(restTime, p.closeAtRest)
+		_ = c.client.Close() // may be closed already
+	case p.idleTimer == nil:
+		p.idleTimer = time.AfterFunc(idleTimeout, p.closeIdle)
 	default:
-		p.rest.Reset(restTime)
+		p.idleTimer.Reset(idleTimeout)
 	}
 }
 
-// closeAtRest closes the connection unless a call is under way.
-func (p *path) closeAtRest() {
+// closeIdle closes the connection unless a call is in flight.
+func (p *path) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.conn == nil || p.conn.calls > 0 {
+	if p.conn == nil || p.conn.inFlight > 0 {
 		return
 	}
-	_ = p.conn.client.Close() // it may have been closed already
+	_ = p.conn.client.Close() // may be closed already
 	p.conn = nil
 }
 
-// drop gives a connection up, with all calls on it.
+// drop closes a connection and fails all calls on it.
 func (p *path) drop(c *conn) {
 	p.mu.Lock()
 	if p.conn == c {
 		p.conn = nil
 	}
 	p.mu.Unlock()
-	_ = c.client.Close() // it may have been closed already
+	_ = c.client.Close() // may be closed already
 }
--- a/internal/transport/peerlink/peerlink.go
+++ b/internal/transport/peerlink/peerlink.go
@@ -1,5 +1,5 @@
-// Package peerlink keeps net/rpc connections to other daemons and bounds each call on them. Where the direct
-// way to a daemon fails, calls take a detour if there is one.
+// Package peerlink keeps net/rpc connections to other daemons and applies a timeout to each call. If the direct path to a
+// daemon fails or is slow, calls use a fallback path, if there is one.
 package peerlink
 
 import (
@@ -13,84 +13,84 @@
 	"github.com/rookpass/rookpass/internal/transport/network"
 )
 
-// ErrUnreachable means that no answer came; the call may have been carried out.
+// ErrUnreachable means that no reply arrived; the call may have been executed.
 var ErrUnreachable = errors.New("daemon unreachable")
 
 const (
-	// dialTimeout is far above a connection between data centres, 3 ms.
+	// dialTimeout is far above the time to connect between data centres, 3 ms.
 	dialTimeout = 500 * time.Millisecond
-	// redialPause bounds how often a dead daemon is dialled.
+	// redialPause is the least time between two dials to a failed daemon.
 	redialPause = 100 * time.Millisecond
-	// detourTime is how long calls take the detour before the direct way is tried again.
-	detourTime = 2 * time.Second
+	// fallbackTime is how long calls use the fallback path first before the direct one is tried again.
+	fallbackTime = 2 * time.Second
 )
 
 // Pool keeps a link for each address.
 type Pool struct {
 	dial network.DialContext
-	// detour connects to an address through another daemon; nil where there is none.
-	detour   network.DialContext
-	patience time.Duration
+	// fallback connects to an address through another daemon; nil if there is none.
+	fallback   network.DialContext
+	hedgeDelay time.Duration
 
-	budget *budget
+	hedges *hedgeBudget
 
 	mu    sync.Mutex
 	links map[string]*Link
 }
 
-// NewSet returns an empty set.
+// NewSet returns an empty pool without a fallback path.
 func NewSet(dial network.DialContext) *Pool {
-	return &Pool{dial: dial, budget: newBudget(), links: map[string]*Link{}}
+	return &Pool{dial: dial, hedges: newHedgeBudget(), links: map[string]*Link{}}
 }
 
-// WithFallback makes calls that have no answer after patience be sent over a detour as well, and returns the
-// set. Every call must be idempotent.
-func (s *Pool) WithFallback(detour network.DialContext, patience time.Duration) *Pool {
-	s.detour, s.patience = detour, patience
-	return s
+// WithFallback sets a fallback path and returns the pool. Calls without a reply after hedgeDelay are sent over the
+// fallback path as well, so every call must be idempotent.
+func (p *Pool) WithFallback(fallback network.DialContext, hedgeDelay time.Duration) *Pool {
+	p.fallback, p.hedgeDelay = fallback, hedgeDelay
+	return p
 }
 
-// HedgedCalls returns how many calls were sent over a second path.
-func (s *Pool) HedgedCalls() int {
-	s.budget.mu.Lock()
-	defer s.budget.mu.Unlock()
-	return s.budget.sent
+// HedgedCalls returns the number of calls that were sent over both paths.
+func (p *Pool) HedgedCalls() int {
+	p.hedges.mu.Lock()
+	defer p.hedges.mu.Unlock()
+	return p.hedges.sent
 }
 
 // LinkTo returns the link to an address.
-func (s *Pool) LinkTo(address string) *Link {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	link := s.links[address]
+func (p *Pool) LinkTo(address string) *Link {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	link := p.links[address]
 	if link == nil {
-		link = &Link{direct: newPath(address, s.dial), patience: s.patience, budget: s.budget}
-		if s.detour != nil {
-			link.detour = newPath(address, s.detour)
+		link = &Link{direct: newPath(address, p.dial), hedgeDelay: p.hedgeDelay, hedges: p.hedges}
+		if p.fallback != nil {
+			link.fallback = newPath(address, p.fallback)
 		}
-		s.links[address] = link
+		p.links[address] = link
 	}
 	return link
 }
 
-// Link is the way to one daemon.
+// Link calls one daemon, over a direct and possibly a fallback path.
 type Link struct {
-	direct, detour *path
-	patience       time.Duration
-	budget         *budget
+	direct, fallback *path
+	hedgeDelay       time.Duration
+	hedges           *hedgeBudget
 
-	mu         sync.Mutex
-	detourTill time.Time
+	mu            sync.Mutex
+	fallbackUntil time.Time
 }
 
-// outcome is how a call on one path ended.
+// outcome is the result of a call on one path.
 type outcome[Reply any] struct {
 	path  *path
 	reply *Reply
 	err   error
 }
 
-// Call calls a method and returns its answer. The answer is a value of its own, so that one that comes after
-// ctx has ended writes into memory that nobody reads. A call without an answer may have been carried out.
+// Call calls a method and returns its reply. Every attempt writes to a reply of its own, so that one that arrives after
+// ctx has ended is discarded. A call that fails with ErrUnreachable may have been executed.
 func Call[Reply any](ctx context.Context, l *Link, method string, args any) (*Reply, error) {
 	first, second := l.order()
 	ended := make(chan outcome[Reply], 2)
@@ -104,9 +104,9 @@
 		o := <-ended
 		return o.reply, o.err
 	}
-	l.budget.earn()
+	l.hedges.addCall()
 	go ask(first)
-	timer := time.NewTimer(l.patience)
+	timer := time.NewTimer(l.hedgeDelay)
 	defer timer.Stop()
 	var problem error
 	for running := 1; running > 0; {
@@ -114,14 +114,14 @@
 		case o := <-ended:
 			running--
 			if o.err == nil || !errors.Is(o.err, ErrUnreachable) {
-				l.settle(o.path, problem != nil || second == nil)
+				l.recordAnswer(o.path, problem != nil || second == nil)
 				return o.reply, o.err
 			}
 			problem = errors.Join(problem, o.err)
-			l.failed(o.path)
+			l.recordFailure(o.path)
 		case <-timer.C:
 		}
-		if second != nil && ctx.Err() == nil && l.budget.spend() {
+		if second != nil && ctx.Err() == nil && l.hedges.spend() {
 			go ask(second)
 			second = nil
 			running++
@@ -130,40 +130,40 @@
 	return nil, problem
 }
 
-// order returns the paths in the order in which they are to be tried.
+// order returns the paths in the order in which to try them.
 func (l *Link) order() (first, second *path) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.detour != nil && time.Now().Before(l.detourTill) {
-		return l.detour, l.direct
+	if l.fallback != nil && time.Now().Before(l.fallbackUntil) {
+		return l.fallback, l.direct
 	}
-	return l.direct, l.detour
+	return l.direct, l.fallback
 }
 
-// settle notes which path answered; contested tells that the other one was tried too.
-func (l *Link) settle(answered *path, contested bool) {
+// recordAnswer records which path answered; contested means that the other one was tried too.
+func (l *Link) recordAnswer(answered *path, contested bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case answered == l.direct:
-		l.detourTill = time.Time{}
+		l.fallbackUntil = time.Time{}
 	case contested:
-		l.detourTill = time.Now().Add(detourTime)
+		l.fallbackUntil = time.Now().Add(fallbackTime)
 	}
 }
 
-// failed notes that a path gave no answer.
-func (l *Link) failed(p *path) {
+// recordFailure records that a path gave no answer, so that the other one is tried first for a while.
+func (l *Link) recordFailure(p *path) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p == l.direct && l.detour != nil {
-		l.detourTill = time.Now().Add(detourTime)
+	if p == l.direct && l.fallback != nil {
+		l.fallbackUntil = time.Now().Add(fallbackTime)
 	} else {
-		l.detourTill = time.Time{}
+		l.fallbackUntil = time.Time{}
 	}
 }
 
-// Serve answers calls on a listener until it is closed.
+// Serve serves net/rpc services, by name, on a listener until it is closed.
 func Serve(listener net.Listener, services map[string]any) error {
 	server := rpc.NewServer()
 	for name, service := range services {
--- a/internal/transport/peerlink/peerlink_test.go
+++ b/internal/transport/peerlink/peerlink_test.go
@@ -22,7 +22,7 @@
 	release chan struct{}
 }
 
-// Say answers with what it was asked, once released.
+// Say returns text, once released.
 func (e *Echo) Say(text *string, reply *string) error {
 	e.calls.Add(1)
 	if e.release != nil {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// Refuse answers with an error of its own.
+// Refuse returns an error.
 func (e *Echo) Refuse(*string, *string) error { return errors.New("refused") }
 
 func serve(t *testing.T, fabric *memnet.Fabric, e *Echo) {
@@ -45,7 +45,7 @@
 	})
 }
 
-// dialer counts the dials of a host.
+// dialer returns a dialer of a host that counts its dials.
 func dialer(fabric *memnet.Fabric, host string, dials *atomic.Int64) network.DialContext {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		dials.Add(1)
@@ -64,7 +64,7 @@
 	return err
 }
 
-func TestConnectionIsKeptAndMadeAgain(t *testing.T) {
+func TestConnectionIsReusedAndReestablished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		serve(t, fabric, &Echo{})
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestAnswerOfTheServiceIsNoLostConnection(t *testing.T) {
+func TestServiceErrorKeepsTheConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		serve(t, fabric, &Echo{})
@@ -97,17 +97,17 @@
 	})
 }
 
-// TestDetourWhereTheDirectWayIsSilent: the call is sent over the detour too, the next ones over the detour
-// first, and later the direct way is tried again.
-func TestDetourWhereTheDirectWayIsSilent(t *testing.T) {
+// TestFallbackWhenDirectPathIsSilent checks that a call is sent over the fallback path too, that later ones use it first,
+// and that the direct path is tried again later.
+func TestFallbackWhenDirectPathIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		e := &Echo{}
 		serve(t, fabric, e)
-		var direct, detour atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &detour), 100*time.Millisecond).LinkTo("server:1")
+		var direct, fallback atomic.Int64
+		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &fallback), 100*time.Millisecond).LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
-		assert.Equal(t, detour.Load(), int64(0))
+		assert.Equal(t, fallback.Load(), int64(0))
 		fabric.Freeze("client")
 		began := time.Now()
 		assert.NilError(t, say(t, link, time.Second))
@@ -115,31 +115,31 @@
 		began = time.Now()
 		assert.NilError(t, say(t, link, time.Second))
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		assert.Equal(t, detour.Load(), int64(1))
+		assert.Equal(t, fallback.Load(), int64(1))
 		fabric.Thaw("client")
 		time.Sleep(3 * time.Second)
 		e.calls.Store(0)
 		assert.NilError(t, say(t, link, time.Second))
 		assert.Equal(t, e.calls.Load(), int64(1))
-		assert.Equal(t, detour.Load(), int64(1))
+		assert.Equal(t, fallback.Load(), int64(1))
 	})
 }
 
-func TestDetourWhereTheDirectWayIsRefused(t *testing.T) {
+func TestFallbackWhenDirectPathIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		serve(t, fabric, &Echo{})
 		fabric.Partition("client", "server")
-		var direct, detour atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &detour), time.Hour).LinkTo("server:1")
+		var direct, fallback atomic.Int64
+		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &fallback), time.Hour).LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
 		fabric.Partition("helper", "server")
 		assert.ErrorIs(t, say(t, link, time.Second), peerlink.ErrUnreachable)
 	})
 }
 
-// TestLateAnswerHarmsNobody: an answer that comes after its call has ended is written to memory of its own.
-func TestLateAnswerHarmsNobody(t *testing.T) {
+// TestLateReplyIsDiscarded checks that a reply that arrives after its call has ended does not affect the next call.
+func TestLateReplyIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		e := &Echo{release: make(chan struct{})}
--- a/internal/transport/tunnel/tunnel.go
+++ b/internal/transport/tunnel/tunnel.go
@@ -1,7 +1,7 @@
-// Package tunnel carries connections between two daemons that can't reach one another through a third that
-// reaches both.
+// Package tunnel relays connections between two daemons that can't reach each other through a third one that reaches
+// both.
 //
-// The dialer sends the address that it wants and a line feed; what follows is copied both ways.
+// The client sends the target address and a line feed; all further bytes are copied in both directions.
 package tunnel
 
 import (
@@ -26,39 +26,39 @@
 var Error = errs.Class("tunnel")
 
 const (
-	// greetingTimeout bounds how long the address may take to come.
+	// greetingTimeout limits the receipt of the target address, and the dial to it.
 	greetingTimeout = time.Second
-	// greetingBytes bounds the address.
+	// greetingBytes limits the length of the target address.
 	greetingBytes = 64
-	// maxTunnels bounds what one daemon carries for others; each takes two descriptors.
+	// maxTunnels limits the connections that one daemon relays; each takes two descriptors.
 	maxTunnels = 64
-	// tries is how many helpers are asked before a dial fails.
-	tries = 3
+	// maxAttempts is the number of relays tried by one dial.
+	maxAttempts = 3
 )
 
-// Dialer connects through helpers.
+// Dialer connects through relays.
 type Dialer struct {
-	dial    network.DialContext
-	self    string
-	helpers atomic.Pointer[[]string]
+	dial   network.DialContext
+	self   string
+	relays atomic.Pointer[[]string]
 }
 
-// NewDialer returns a dialer without helpers. self is this daemon's own address, which is never a helper.
+// NewDialer returns a dialer without relays. self is this daemon's own address, which is never used as a relay.
 func NewDialer(dial network.DialContext, self string) *Dialer {
 	d := &Dialer{dial: dial, self: self}
-	d.helpers.Store(&[]string{})
+	d.relays.Store(&[]string{})
 	return d
 }
 
-// SetRelays tells which daemons may carry connections.
-func (d *Dialer) SetRelays(addresses []string) { d.helpers.Store(&addresses) }
+// SetRelays sets the addresses of the daemons that may relay connections.
+func (d *Dialer) SetRelays(addresses []string) { d.relays.Store(&addresses) }
 
-// Dial connects to an address through one of the helpers.
+// Dial connects to an address through one of the relays, chosen at random.
 func (d *Dialer) Dial(ctx context.Context, kind, address string) (net.Conn, error) {
-	helpers := *d.helpers.Load()
-	problems := []error{Error.New("no daemon carries a connection to %s", address)}
-	for tried, i := range rand.Perm(len(helpers)) {
-		if tried == tries || ctx.Err() != nil {
+	helpers := *d.relays.Load()
+	problems := []error{Error.New("no daemon relays a connection to %s", address)}
+	for attempt, i := range rand.Perm(len(helpers)) {
+		if attempt == maxAttempts || ctx.Err() != nil {
 			break
 		}
 		if helpers[i] == d.self {
@@ -78,45 +78,45 @@
 	return nil, errors.Join(problems...)
 }
 
-// Server carries connections for others.
+// Server relays connections for other daemons.
 type Server struct {
 	dial network.DialContext
-	// allowed tells whether an address may be connected to: only other daemons' are.
-	allowed func(address string) bool
-	log     logrus.FieldLogger
-	open    atomic.Int64
+	// isAllowed reports whether an address may be dialled: only those of other daemons.
+	isAllowed func(address string) bool
+	log       logrus.FieldLogger
+	open      atomic.Int64
 }
 
-// NewServer returns a server.
-func NewServer(dial network.DialContext, allowed func(address string) bool, log logrus.FieldLogger) *Server {
-	return &Server{dial: dial, allowed: allowed, log: log}
+// NewServer returns a server that dials only allowed addresses.
+func NewServer(dial network.DialContext, isAllowed func(address string) bool, log logrus.FieldLogger) *Server {
+	return &Server{dial: dial, isAllowed: isAllowed, log: log}
 }
 
-// Serve carries connections that come to a listener until it is closed.
+// Serve relays the connections of a listener until it is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return err
 		}
-		go s.carry(conn)
+		go s.relay(conn)
 	}
 }
 
-func (s *Server) carry(conn net.Conn) {
+func (s *Server) relay(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	if s.open.Add(1) > maxTunnels {
 		s.open.Add(-1)
-		s.log.WithFields(logrus.Fields{"event": "tunnel-refused", "from": conn.RemoteAddr(), "why": "too many"}).Warn("connection not carried")
+		s.log.WithFields(logrus.Fields{"event": "tunnel-refused", "from": conn.RemoteAddr(), "why": "too many"}).Warn("connection not relayed")
 		return
 	}
 	defer s.open.Add(-1)
-	_ = conn.SetReadDeadline(time.Now().Add(greetingTimeout)) // a connection in memory has none
+	_ = conn.SetReadDeadline(time.Now().Add(greetingTimeout)) // in-memory connections have no deadline
 	reader := bufio.NewReaderSize(conn, greetingBytes)
 	line, err := reader.ReadSlice('\n')
 	address := strings.TrimSuffix(string(line), "\n")
-	if err != nil || !s.allowed(address) {
-		s.log.WithFields(logrus.Fields{"event": "tunnel-refused", "from": conn.RemoteAddr(), "to": address, "error": err}).Warn("connection not carried")
+	if err != nil || !s.isAllowed(address) {
+		s.log.WithFields(logrus.Fields{"event": "tunnel-refused", "from": conn.RemoteAddr(), "to": address, "error": err}).Warn("connection not relayed")
 		return
 	}
 	_ = conn.SetReadDeadline(time.Time{}) // as above
@@ -124,18 +124,18 @@
 	defer cancel()
 	far, err := s.dial(ctx, "tcp", address)
 	if err != nil {
-		s.log.WithFields(logrus.Fields{"event": "tunnel-failed", "to": address, "error": err}).Warn("connection not carried")
+		s.log.WithFields(logrus.Fields{"event": "tunnel-failed", "to": address, "error": err}).Warn("connection not relayed")
 		return
 	}
-	s.log.WithFields(logrus.Fields{"event": "tunnel", "from": conn.RemoteAddr(), "to": address}).Info("carrying a connection")
+	s.log.WithFields(logrus.Fields{"event": "tunnel", "from": conn.RemoteAddr(), "to": address}).Info("relaying a connection")
 	splice(conn, reader, far)
 }
 
-// splice copies both ways until either side ends.
+// splice copies in both directions until either side ends.
 func splice(near net.Conn, fromNear io.Reader, far net.Conn) {
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		_, _ = io.Copy(far, fromNear) // the end of either side ends both
+		_, _ = io.Copy(far, fromNear) // the end of either side closes both
 		_ = far.Close()
 	})
 	_, _ = io.Copy(near, far) // as above
--- a/internal/transport/tunnel/tunnel_test.go
+++ b/internal/transport/tunnel/tunnel_test.go
@@ -22,7 +22,7 @@
 	return l
 }
 
-// echoServer sends back what it gets.
+// echoServer starts a server that returns what it receives.
 func echoServer(t *testing.T) string {
 	l := listen(t)
 	go func() {
@@ -40,7 +40,7 @@
 	return l.Addr().String()
 }
 
-func helper(t *testing.T, allowed func(string) bool) string {
+func startRelay(t *testing.T, allowed func(string) bool) string {
 	l := listen(t)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -48,10 +48,10 @@
 	return l.Addr().String()
 }
 
-func TestConnectionIsCarriedBothWays(t *testing.T) {
+func TestConnectionIsRelayedBothWays(t *testing.T) {
 	target := echoServer(t)
 	d := tunnel.NewDialer((&net.Dialer{}).DialContext, "self")
-	d.SetRelays([]string{"127.0.0.1:1", helper(t, func(a string) bool { return a == target })})
+	d.SetRelays([]string{"127.0.0.1:1", startRelay(t, func(a string) bool { return a == target })})
 	conn, err := d.Dial(context.Background(), "tcp", target)
 	assert.NilError(t, err)
 	_, err = io.WriteString(conn, "hello")
@@ -63,11 +63,11 @@
 	assert.NilError(t, conn.Close())
 }
 
-// TestOnlyDaemonsAreReached: a helper is no way to any other address.
-func TestOnlyDaemonsAreReached(t *testing.T) {
+// TestOtherAddressesAreRefused checks that a relay dials allowed addresses only.
+func TestOtherAddressesAreRefused(t *testing.T) {
 	target := echoServer(t)
 	d := tunnel.NewDialer((&net.Dialer{}).DialContext, "self")
-	d.SetRelays([]string{helper(t, func(string) bool { return false })})
+	d.SetRelays([]string{startRelay(t, func(string) bool { return false })})
 	conn, err := d.Dial(context.Background(), "tcp", target)
 	assert.NilError(t, err)
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -75,9 +75,9 @@
 	assert.Assert(t, err != nil && !errors.Is(err, context.DeadlineExceeded))
 }
 
-func TestNoHelperIsAnError(t *testing.T) {
+func TestNoRelayIsAnError(t *testing.T) {
 	d := tunnel.NewDialer((&net.Dialer{}).DialContext, "self")
 	d.SetRelays([]string{"self"})
 	_, err := d.Dial(context.Background(), "tcp", "127.0.0.1:1")
-	assert.ErrorContains(t, err, "no daemon carries a connection")
+	assert.ErrorContains(t, err, "no daemon relays a connection")
 }
--- a/internal/transport/upstream/idle_test.go
+++ b/internal/transport/upstream/idle_test.go
@@ -15,9 +15,9 @@
 	"github.com/rookpass/rookpass/internal/transport/upstream"
 )
 
-// TestRestedConnectionsServeWhatMayRunTwice: a server that says nothing keeps idle connections for 4 s. One that has rested for
-// long may be gone unnoticed, so what must not run twice opens a new one 0.7 s before, everything else 0.25 s.
-func TestRestedConnectionsServeWhatMayRunTwice(t *testing.T) {
+// TestIdleConnectionsAreReusedLongerForIdempotentRequests checks the margins before the default keep-alive time of 4 s:
+// at-most-once requests open a new connection 0.7 s before, idempotent ones 0.25 s before.
+func TestIdleConnectionsAreReusedLongerForIdempotentRequests(t *testing.T) {
 	dial := func(context.Context, string, string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
 		go func() {
@@ -40,7 +40,7 @@
 		for _, repeatable := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%v/%t", rest, repeatable), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					p := upstream.NewPool(dial, dialect{}, 100)
+					p := upstream.NewPool(dial, headerCodec{}, 100)
 					to := upstream.Endpoint{Address: "server"}
 					send := func() {
 						r := request("1")
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// defaultKeep is how long an idle connection is trusted to a server that does not say how long it keeps
-	// them.
-	defaultKeep = 4 * time.Second
-	// keepMargin is subtracted from what the server says: a request must not cross its close. It is above a busy VM's delays
-	// of up to 250 ms. What must not run twice keeps further away: a connection that was lost unnoticed costs it an answer.
-	keepMargin       = 250 * time.Millisecond
-	keepMarginAtMost = 700 * time.Millisecond
-	// maxIdle bounds the idle connections to one server.
+	// defaultKeepAlive is used for servers that do not announce how long they keep idle connections.
+	defaultKeepAlive = 4 * time.Second
+	// idleMargin is subtracted from the server's keep-alive time, so that a request does not cross the server's close.
+	// It allows for the delays of a busy VM. At-most-once requests use the larger margin, since they can't be repeated
+	// if the connection turns out to be closed.
+	idleMargin           = 250 * time.Millisecond
+	atMostOnceIdleMargin = 700 * time.Millisecond
+	// maxIdle limits the idle connections to one server.
 	maxIdle = 16
 )
 
-// Endpoint is where one start of a server is reached. Connections to an earlier start are of no use to a later one at
-// the same address: a request on one ends in a reset, and may then not be sent again where it must run once at most.
+// Endpoint is the address of one incarnation of a server. Connections to an earlier incarnation at the same address are
+// not reused: a request on one ends in a reset, and may not be repeated if it is at-most-once.
 type Endpoint struct {
 	Address string
 	Server  incarnation.ID
@@ -35,70 +35,72 @@
 
 // Pool keeps connections to servers, by endpoint.
 type Pool struct {
-	dial    network.DialContext
-	dialect call.HeaderCodec
-	// most bounds the connections to all servers.
-	most int
+	dial  network.DialContext
+	codec call.HeaderCodec
+	// maxConns limits the connections to all servers together.
+	maxConns int
 
 	mu    sync.Mutex
 	hosts map[Endpoint]*host
 	// open counts the connections to all servers.
 	open int
 
-	// dialled is told of each connection made; nil where nobody asks.
-	dialled func(to Endpoint, took time.Duration)
+	// onDial is called after each new connection; may be nil.
+	onDial func(to Endpoint, took time.Duration)
 
 	opened atomic.Int64
 	reused atomic.Int64
 }
 
-// host is one server's connections; guarded by Pool.mu.
+// host holds the connections to one endpoint. It is guarded by Pool.mu.
 type host struct {
 	idle []*conn
 	open int
 }
 
-// NewPool returns an empty pool of at most so many connections.
-func NewPool(dial network.DialContext, dialect call.HeaderCodec, most int) *Pool {
-	return &Pool{dial: dial, dialect: dialect, most: most, hosts: map[Endpoint]*host{}}
+// NewPool returns a pool of at most maxConns connections.
+func NewPool(dial network.DialContext, codec call.HeaderCodec, maxConns int) *Pool {
+	return &Pool{dial: dial, codec: codec, maxConns: maxConns, hosts: map[Endpoint]*host{}}
 }
 
-// OnDial makes the pool tell of each connection that it makes, and how long that took. It is called before the first request.
-func (p *Pool) OnDial(dialled func(to Endpoint, took time.Duration)) { p.dialled = dialled }
+// OnDial sets a function that is called with the endpoint and duration of each new connection. It must be called before
+// the first request.
+func (p *Pool) OnDial(onDial func(to Endpoint, took time.Duration)) { p.onDial = onDial }
 
-// Opened returns how many connections were opened, Reused how many requests went over kept ones.
+// Opened returns the number of connections opened.
 func (p *Pool) Opened() int64 { return p.opened.Load() }
 
-// Reused returns how many requests went over kept connections.
+// Reused returns the number of requests sent over reused connections.
 func (p *Pool) Reused() int64 { return p.reused.Load() }
 
-// Do sends a request to a server and returns the head of its answer. limit bounds the connections to it; 0 means none.
+// Do sends a request to a server and returns its response once the head has arrived. limit bounds the connections to
+// this server; 0 means no limit.
 func (p *Pool) Do(ctx context.Context, to Endpoint, limit int, r *Request) (*Response, *Failure) {
-	c, failure := p.take(ctx, to, limit, r.Idempotent)
+	c, failure := p.acquire(ctx, to, limit, r.Idempotent)
 	if failure != nil {
 		return nil, failure
 	}
-	answer, failure := exchange(ctx, c, r, p.dialect)
+	response, failure := roundTrip(ctx, c, r, p.codec)
 	if failure != nil {
-		p.drop(to)
+		p.countClosed(to)
 		return nil, failure
 	}
-	finish := answer.close
-	answer.close = func(whole bool) {
-		finish(whole)
-		if answer.conn == nil {
-			p.drop(to)
+	closeResponse := response.close
+	response.close = func(whole bool) {
+		closeResponse(whole)
+		if response.conn == nil {
+			p.countClosed(to)
 			return
 		}
-		p.put(to, c, answer.Info.KeepAlive)
+		p.putIdle(to, c, response.Info.KeepAlive)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// take returns an idle connection that is still open, or a new one.
-func (p *Pool) take(ctx context.Context, to Endpoint, limit int, repeatable bool) (*conn, *Failure) {
+// acquire returns an idle connection that is still open, or a new one.
+func (p *Pool) acquire(ctx context.Context, to Endpoint, limit int, idempotent bool) (*conn, *Failure) {
 	for {
-		c := p.pop(to, repeatable)
+		c := p.popIdle(to, idempotent)
 		if c == nil {
 			break
 		}
@@ -107,57 +109,56 @@
 			return c, nil
 		}
 		_ = c.Close()
-		p.drop(to)
+		p.countClosed(to)
 	}
-	if err := p.enter(to, limit); err != nil {
+	if err := p.reserve(to, limit); err != nil {
 		return nil, &Failure{Verdict: verdict.NotRun, Reason: ReasonNoConns, err: err}
 	}
 	p.opened.Add(1)
 	began := time.Now()
 	c, err := p.dial(ctx, "tcp", to.Address)
 	if err != nil {
-		p.drop(to)
+		p.countClosed(to)
 		return nil, &Failure{Verdict: verdict.NotRun, Reason: ReasonDial, err: err}
 	}
-	if p.dialled != nil {
-		p.dialled(to, time.Since(began))
+	if p.onDial != nil {
+		p.onDial(to, time.Since(began))
 	}
 	return newConn(c), nil
 }
 
-// enter counts a new connection to a server, or says why there can be none. Where there are too many in all,
-// an idle one to another server gives way.
-func (p *Pool) enter(to Endpoint, limit int) error {
+// reserve counts a new connection to a server, or returns an error if a limit is reached. At the limit of the pool it
+// closes an idle connection to another server instead.
+func (p *Pool) reserve(to Endpoint, limit int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.host(to); limit > 0 && h.open >= limit {
 		return Error.New("all %d connections to %s are busy", limit, to.Address)
 	}
-	if p.open >= p.most && !p.closeOneIdle() {
-		return Error.New("all %d connections to servers are busy", p.most)
+	if p.open >= p.maxConns && !p.evictIdle() {
+		return Error.New("all %d connections to servers are busy", p.maxConns)
 	}
 	p.host(to).open++
 	p.open++
 	return nil
 }
 
-// closeOneIdle closes the idle connection of any server that has rested longest there. It is called with the
-// lock held.
-func (p *Pool) closeOneIdle() bool {
+// evictIdle closes the oldest idle connection of some server. The caller holds mu.
+func (p *Pool) evictIdle() bool {
 	for to, h := range p.hosts {
 		if len(h.idle) == 0 {
 			continue
 		}
 		_ = h.idle[0].Close()
 		h.idle = h.idle[1:]
-		p.left(to, h)
+		p.countClosedLocked(to, h)
 		return true
 	}
 	return false
 }
 
-// left counts a connection as closed. It is called with the lock held.
-func (p *Pool) left(to Endpoint, h *host) {
+// countClosedLocked counts a connection as closed. The caller holds mu.
+func (p *Pool) countClosedLocked(to Endpoint, h *host) {
 	h.open--
 	p.open--
 	if h.open <= 0 && len(h.idle) == 0 {
@@ -174,9 +175,9 @@
 	return h
 }
 
-// pop takes the connection out that was used last, or returns nil where there is none or it has rested too long for a
-// request that must not run twice.
-func (p *Pool) pop(to Endpoint, repeatable bool) *conn {
+// popIdle removes and returns the most recently used idle connection. It returns nil if there is none, or if it has been
+// idle too long for an at-most-once request.
+func (p *Pool) popIdle(to Endpoint, idempotent bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.host(to)
@@ -184,55 +185,55 @@
 		return nil
 	}
 	c := h.idle[len(h.idle)-1]
-	if !repeatable && !c.lasts(false, time.Now()) {
+	if !idempotent && !c.usableFor(false, time.Now()) {
 		return nil
 	}
 	h.idle = h.idle[:len(h.idle)-1]
 	return c
 }
 
-// HasIdle tells whether a connection to a server rests that a request may use.
-func (p *Pool) HasIdle(to Endpoint, repeatable bool) bool {
+// HasIdle reports whether there is an idle connection to a server that a request may use.
+func (p *Pool) HasIdle(to Endpoint, idempotent bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[to]
-	return h != nil && len(h.idle) > 0 && h.idle[len(h.idle)-1].lasts(repeatable, time.Now())
+	return h != nil && len(h.idle) > 0 && h.idle[len(h.idle)-1].usableFor(idempotent, time.Now())
 }
 
-// lasts tells whether a resting connection is far enough from its server's close for a request.
-func (c *conn) lasts(repeatable bool, now time.Time) bool {
+// usableFor reports whether an idle connection is far enough from its expiry for a request.
+func (c *conn) usableFor(idempotent bool, now time.Time) bool {
 	needed := time.Duration(0)
-	if !repeatable {
-		needed = keepMarginAtMost - keepMargin
+	if !idempotent {
+		needed = atMostOnceIdleMargin - idleMargin
 	}
 	return !now.Add(needed).After(c.expires)
 }
 
-func (p *Pool) put(to Endpoint, c *conn, keep time.Duration) {
+func (p *Pool) putIdle(to Endpoint, c *conn, keep time.Duration) {
 	if keep == 0 {
-		keep = defaultKeep
+		keep = defaultKeepAlive
 	}
-	keep -= keepMargin
+	keep -= idleMargin
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.host(to)
 	if keep <= 0 || len(h.idle) >= maxIdle {
 		_ = c.Close()
-		p.left(to, h)
+		p.countClosedLocked(to, h)
 		return
 	}
 	c.expires = time.Now().Add(keep)
 	h.idle = append(h.idle, c)
 }
 
-// drop counts a connection as closed.
-func (p *Pool) drop(to Endpoint) {
+// countClosed counts a connection as closed.
+func (p *Pool) countClosed(to Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.left(to, p.host(to))
+	p.countClosedLocked(to, p.host(to))
 }
 
-// CloseIdle closes connections that have expired, and all idle ones to servers that are not wanted.
+// CloseIdle closes expired connections, and all idle ones to endpoints for which wanted returns false.
 func (p *Pool) CloseIdle(wanted func(Endpoint) bool) {
 	now := time.Now()
 	var closing []net.Conn
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream sends single requests to backend servers over kept connections and says of each failure
-// whether the request may have run. It never sends a request twice by itself.
+// Package upstream sends single requests to backend servers over pooled connections. Each failure tells whether the
+// request may have run. Requests are never retried.
 package upstream
 
 import (
@@ -22,14 +22,14 @@
 var Error = errs.Class("upstream")
 
 const (
-	// inlineBodyBytes is written before the answer is read; a larger body is written beside it, since a
-	// server may answer and stop reading in the middle. The smallest windows of the platform's links hold it.
+	// inlineBodyBytes is the largest body that is written before the response is read. A larger one is written
+	// concurrently, since a server may respond and stop reading. The smallest windows of the platform's links hold it.
 	inlineBodyBytes = 8 << 10
-	// maxStrayAnswers bounds how many answers of earlier requests are passed over on one connection.
-	maxStrayAnswers = 4
+	// maxStrayResponses limits the late responses to earlier requests that are skipped on a connection.
+	maxStrayResponses = 4
 )
 
-// Request is what one server is to get.
+// Request is a request to a server.
 type Request struct {
 	Method string
 	// URI is the request target exactly as the caller sent it.
@@ -37,7 +37,7 @@
 	Host   string
 	Header http.Header
 	Body   [][]byte
-	// ID must come back in the answer.
+	// ID must be repeated in the response.
 	ID string
 	// Idempotent requests may run more than once.
 	Idempotent bool
@@ -51,36 +51,36 @@
 	return n
 }
 
-// Response is a server's answer whose body is still to be read. Body ends with io.EOF only where the answer is
-// whole. Close must be called.
+// Response is a server's response whose body is still to be read. Body returns io.EOF only after a complete response.
+// Close must be called.
 type Response struct {
 	Status int
 	Header http.Header
 	Info   call.ResponseInfo
-	// Length of the body, or -1 when only its end tells.
+	// Length of the body, or -1 if unknown.
 	Length int64
 	Body   io.Reader
 
-	conn  *conn
-	resp  *http.Response
-	whole bool
-	close func(reusable bool)
+	conn     *conn
+	resp     *http.Response
+	complete bool
+	close    func(reusable bool)
 }
 
-// Close releases the connection; it is kept only if the answer was read to its end.
+// Close releases the connection. It is reused only if the body was read to its end.
 func (a *Response) Close() {
 	if a.close != nil {
-		a.close(a.whole)
+		a.close(a.complete)
 		a.close = nil
 	}
 }
 
-// Failure tells why a request got no usable answer.
+// Failure describes why a request got no usable response.
 type Failure struct {
 	Verdict verdict.Verdict
-	// Reason is a stable word for logs and counters.
+	// Reason is one of the Reason constants, for logs and counters.
 	Reason string
-	// Reused tells that the connection had served other requests before.
+	// Reused reports that the connection had been used by earlier requests.
 	Reused bool
 	err    error
 }
@@ -91,7 +91,7 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.err }
 
-// The reasons of failures.
+// Reasons of failures.
 const (
 	ReasonDial      = "dial"
 	ReasonNoConns   = "no-connections"
@@ -102,20 +102,20 @@
 	ReasonCanceled  = "canceled"
 )
 
-// conn is one connection to a server.
+// conn is a connection to a server.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	used   bool
-	// expires is when the server may close the idle connection.
+	// expires is the time from which the server may close the idle connection.
 	expires time.Time
 }
 
 func newConn(c net.Conn) *conn { return &conn{Conn: c, reader: bufio.NewReaderSize(c, 4<<10)} }
 
-// exchange sends a request on a connection and reads the head of its answer. The connection is closed when
-// ctx ends, so that the server learns that nobody waits.
-func exchange(ctx context.Context, c *conn, r *Request, dialect call.HeaderCodec) (*Response, *Failure) {
+// roundTrip sends a request on a connection and reads the head of its response. The connection is closed when ctx ends,
+// which tells the server that the request was cancelled.
+func roundTrip(ctx context.Context, c *conn, r *Request, codec call.HeaderCodec) (*Response, *Failure) {
 	reused := c.used
 	c.used = true
 	fail := func(v verdict.Verdict, reason string, err error) (*Response, *Failure) {
@@ -140,7 +140,7 @@
 	} else {
 		go func() { written <- writeAll(c, head, r.Body) }()
 	}
-	resp, reply, err := readHead(c, r, dialect)
+	resp, reply, err := readHead(c, r, codec)
 	var writeErr error
 	writeDone := true
 	select {
@@ -151,7 +151,7 @@
 	if err != nil {
 		stop()
 		reason := ReasonMalformed
-		if isBroken(err) {
+		if isConnError(err) {
 			reason = ReasonRead
 		}
 		if writeErr != nil {
@@ -160,65 +160,65 @@
 		}
 		return fail(verdict.MayHaveRun, reason, err)
 	}
-	answer := &Response{Status: resp.StatusCode, Header: resp.Header, Info: reply, Length: resp.ContentLength, conn: c, resp: resp}
-	answer.Body = &wholeReader{answer: answer}
+	response := &Response{Status: resp.StatusCode, Header: resp.Header, Info: reply, Length: resp.ContentLength, conn: c, resp: resp}
+	response.Body = &eofTracker{response: response}
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	keep := framed && !resp.Close && writeDone && writeErr == nil
-	answer.close = func(whole bool) {
+	response.close = func(whole bool) {
 		ended := stop()
 		if !whole || !keep || !ended || c.reader.Buffered() > 0 {
 			_ = c.Close()
-			answer.conn = nil
+			response.conn = nil
 		}
 	}
-	return answer, nil
+	return response, nil
 }
 
-// isBroken tells a connection that ended from bytes that are no answer.
-func isBroken(err error) bool {
+// isConnError reports whether err is a failure of the connection rather than of parsing.
+func isConnError(err error) bool {
 	var network net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &network)
 }
 
-// errGarbled marks bytes that are not an answer to the request.
-var errGarbled = Error.New("not an answer to this request")
+// errMalformed means that the received bytes are no response to the request.
+var errMalformed = Error.New("malformed response, or response to another request")
 
-// readHead reads answers until one names the request: an answer of an earlier request on the connection may
-// still come.
-func readHead(c *conn, r *Request, dialect call.HeaderCodec) (*http.Response, call.ResponseInfo, error) {
-	asked := &http.Request{Method: r.Method}
-	for range maxStrayAnswers {
-		resp, err := http.ReadResponse(c.reader, asked)
+// readHead reads responses until one carries the request's ID, since a late response to an earlier request on the same
+// connection may come first.
+func readHead(c *conn, r *Request, codec call.HeaderCodec) (*http.Response, call.ResponseInfo, error) {
+	request := &http.Request{Method: r.Method}
+	for range maxStrayResponses {
+		resp, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, call.ResponseInfo{}, err
 		}
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		reply := dialect.DecodeResponse(resp.Header, resp.StatusCode)
+		reply := codec.DecodeResponse(resp.Header, resp.StatusCode)
 		if reply.ID == r.ID {
 			return resp, reply, nil
 		}
 		if reply.ID == "" {
-			return nil, reply, errGarbled
+			return nil, reply, errMalformed
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, reply, err
 		}
 		if resp.Close {
-			return nil, reply, errGarbled
+			return nil, reply, errMalformed
 		}
 	}
-	return nil, call.ResponseInfo{}, errGarbled
+	return nil, call.ResponseInfo{}, errMalformed
 }
 
-// wholeReader notes when a body has been read to its end.
-type wholeReader struct{ answer *Response }
+// eofTracker records whether a body was read to its end.
+type eofTracker struct{ response *Response }
 
-func (w *wholeReader) Read(p []byte) (int, error) {
-	n, err := w.answer.resp.Body.Read(p)
+func (w *eofTracker) Read(p []byte) (int, error) {
+	n, err := w.response.resp.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		w.answer.whole = true
+		w.response.complete = true
 	}
 	return n, err
 }
@@ -235,8 +235,8 @@
 	return err
 }
 
-// appendHead appends the request line and headers. Header names and values come from a parsed request, so
-// they hold no line ends.
+// appendHead appends the request line and headers. Header names and values come from a parsed request, so they contain no
+// line breaks.
 func appendHead(b []byte, r *Request) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -261,7 +261,7 @@
 	return append(b, "\r\n"...)
 }
 
-// NewFailure returns a failure found by the reader of an answer.
+// NewFailure returns a failure found while reading a response.
 func NewFailure(v verdict.Verdict, reason string, err error) *Failure {
 	return &Failure{Verdict: v, Reason: reason, err: err}
 }
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -20,14 +20,14 @@
 	"github.com/rookpass/rookpass/internal/transport/upstream"
 )
 
-// dialect is the least that a pool needs: the header Id names the request.
-type dialect struct{ call.HeaderCodec }
+// headerCodec is a minimal codec: the header Id holds the request ID.
+type headerCodec struct{ call.HeaderCodec }
 
-func (dialect) DecodeResponse(h http.Header, _ int) call.ResponseInfo {
+func (headerCodec) DecodeResponse(h http.Header, _ int) call.ResponseInfo {
 	return call.ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Seal") != ""}
 }
 
-// server runs a script for each connection.
+// server runs script for each connection and returns its address.
 func server(t *testing.T, script func(conn net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 }
 
 func newPool() *upstream.Pool {
-	return upstream.NewPool(network.NewDialer(time.Second, time.Second), dialect{}, 100)
+	return upstream.NewPool(network.NewDialer(time.Second, time.Second), headerCodec{}, 100)
 }
 
 func request(id string) *upstream.Request {
@@ -71,7 +71,7 @@
 		Body: [][]byte{[]byte("a"), []byte("b")}, ID: id}
 }
 
-// ask sends a request and returns the answer's body, or how it failed.
+// ask sends a request and returns the response's body or the failure.
 func ask(ctx context.Context, p *upstream.Pool, address, id string) (string, *upstream.Failure) {
 	a, failure := p.Do(ctx, upstream.Endpoint{Address: address}, 0, request(id))
 	if failure != nil {
@@ -111,8 +111,8 @@
 	assert.Equal(t, p.Reused(), int64(4))
 }
 
-// faults are answers of which no byte may reach a caller as whole.
-var faults = map[string]func(conn net.Conn, id string){
+// malformedResponses must all end in a failure.
+var malformedResponses = map[string]func(conn net.Conn, id string){
 	"cut short":          func(c net.Conn, id string) { _, _ = io.WriteString(c, strings.TrimSuffix(answer(id, "whole"), "ole")) },
 	"no answer":          func(net.Conn, string) {},
 	"bytes, no protocol": func(c net.Conn, _ string) { _, _ = io.WriteString(c, "\x00\x01garbage\r\n\r\n") },
@@ -126,8 +126,8 @@
 	},
 }
 
-func TestBrokenAnswersAreNeverWhole(t *testing.T) {
-	for name, fault := range faults {
+func TestMalformedResponsesAreFailures(t *testing.T) {
+	for name, fault := range malformedResponses {
 		t.Run(name, func(t *testing.T) {
 			address := server(t, func(conn net.Conn, r *bufio.Reader) {
 				id, _, err := read(r)
@@ -156,8 +156,9 @@
 	assert.Equal(t, p.Opened(), int64(2))
 }
 
-// TestLateSurplusAnswerIsPassedOver: a second answer of the request before comes in the place of the next.
-func TestLateSurplusAnswerIsPassedOver(t *testing.T) {
+// TestLateDuplicateResponseIsSkipped checks that a second response to the previous request is not taken for that of the
+// next one.
+func TestLateDuplicateResponseIsSkipped(t *testing.T) {
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
 		first, _, _ := read(r)
 		_, _ = io.WriteString(conn, answer(first, "first"))
@@ -176,8 +177,8 @@
 	assert.Equal(t, p.Opened(), int64(1))
 }
 
-// TestSurplusBytesEndTheConnection: bytes that follow a whole answer at once belong to no request.
-func TestSurplusBytesEndTheConnection(t *testing.T) {
+// TestTrailingBytesEndTheConnection checks that a connection with unread bytes after a response is not reused.
+func TestTrailingBytesEndTheConnection(t *testing.T) {
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
 		id, _, _ := read(r)
 		_, _ = io.WriteString(conn, answer(id, "whole")+answer(id, "again"))
@@ -192,9 +193,9 @@
 	assert.Equal(t, p.Opened(), int64(3))
 }
 
-// TestEarlyAnswerEndsTheConnection: a server answers before it has read a long body, then reads on. What it
-// reads must never be another request.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// TestEarlyResponseEndsTheConnection checks that a connection is not reused if the server responded before it had read
+// the body, so that the rest of the body is never taken for another request.
+func TestEarlyResponseEndsTheConnection(t *testing.T) {
 	rest := make(chan int64, 2)
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
@@ -221,7 +222,7 @@
 	assert.Equal(t, p.Opened(), int64(2))
 }
 
-func TestNothingListensMeansNotRun(t *testing.T) {
+func TestRefusedConnectionMeansNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
@@ -232,7 +233,7 @@
 	assert.Equal(t, failure.Reason, upstream.ReasonDial)
 }
 
-// TestClosedIdleConnectionIsNotUsed: the server closes after its answer without saying so.
+// TestClosedIdleConnectionIsNotUsed checks that a connection is not reused if the server closed it without notice.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 3)
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
@@ -249,8 +250,7 @@
 	}
 }
 
-// TestServerLearnsThatTheCallerLeft: the connection closes as soon as the caller's context ends.
-func TestServerLearnsThatTheCallerLeft(t *testing.T) {
+func TestCancelledRequestClosesItsConnection(t *testing.T) {
 	began, left := make(chan struct{}), make(chan error, 1)
 	address := server(t, func(_ net.Conn, r *bufio.Reader) {
 		_, _, _ = read(r)
@@ -269,7 +269,7 @@
 	assert.Assert(t, <-left != nil)
 }
 
-func TestLimitOfConnections(t *testing.T) {
+func TestConnectionLimitPerServer(t *testing.T) {
 	release, began := make(chan struct{}), make(chan struct{})
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
 		id, _, _ := read(r)
@@ -291,8 +291,9 @@
 	assert.Assert(t, <-done == nil)
 }
 
-// TestLimitOfAllConnections: idle connections to other servers give way; busy ones don't.
-func TestLimitOfAllConnections(t *testing.T) {
+// TestConnectionLimitOfThePool checks that idle connections to other servers are closed at the limit, and busy ones are
+// not.
+func TestConnectionLimitOfThePool(t *testing.T) {
 	serve := func(conn net.Conn, r *bufio.Reader) {
 		for {
 			id, _, err := read(r)
@@ -302,7 +303,7 @@
 			_, _ = io.WriteString(conn, answer(id, "body"))
 		}
 	}
-	p := upstream.NewPool(network.NewDialer(time.Second, time.Second), dialect{}, 2)
+	p := upstream.NewPool(network.NewDialer(time.Second, time.Second), headerCodec{}, 2)
 	for i := range 4 {
 		_, failure := ask(background(t), p, server(t, serve), fmt.Sprint(i))
 		assert.Assert(t, failure == nil, "%v", failure)
@@ -317,8 +318,7 @@
 	assert.Equal(t, failure.Verdict, verdict.NotRun)
 }
 
-// TestConnectionsToAnEarlierStartAreNotUsed: another start of the server listens at the same address.
-func TestConnectionsToAnEarlierStartAreNotUsed(t *testing.T) {
+func TestConnectionsToAnEarlierIncarnationAreNotUsed(t *testing.T) {
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
 		for {
 			id, _, err := read(r)
