--- a/internal/decide/quota/client_test.go
+++ b/internal/decide/quota/client_test.go
@@ -49,7 +49,7 @@
 	dial := func(ctx context.Context, _, address string) (net.Conn, error) {
 		return f.fabric.Dial(ctx, name, address)
 	}
-	return quota.NewClient(peerlink.NewSet(dial), func(string) []string { return homes })
+	return quota.NewClient(peerlink.NewPool(dial), func(string) []string { return homes })
 }
 
 func (f *fleet) start(i int) {
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -74,7 +74,7 @@
 			return h.fabric.Dial(ctx, host, address)
 		}
 	}
-	h.links = peerlink.NewSet(dialer("fronts"))
+	h.links = peerlink.NewPool(dialer("fronts"))
 	for i, disk := range h.disks {
 		host := fmt.Sprint("hub-", i)
 		service := exchange.NewService()
@@ -82,7 +82,7 @@
 		listener, err := h.fabric.Listen(host, disk.Address)
 		assert.NilError(t, err)
 		go func() { _ = peerlink.Serve(listener, map[string]any{exchange.ServiceName: service}) }()
-		relayer := &exchange.Relayer{Service: service, Links: peerlink.NewSet(dialer(host)), SelfAddress: disk.Address, Log: quiet(),
+		relayer := &exchange.Relayer{Service: service, Links: peerlink.NewPool(dialer(host)), SelfAddress: disk.Address, Log: quiet(),
 			HubsByArea: func(crowded bool) map[string][]string { return exchange.HubsByArea(h.disks, nil, crowded) }}
 		work.Go(func() { _ = relayer.Run(ctx) })
 	}
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -235,7 +235,7 @@
 // first differs from front to front, so that each serves a share. Before the layout is known, the seeds stand in.
 func (f *front) mirrors() func() []feed.NamedMirror {
 	// Apart from the ledger's: a watch that hangs must not break its calls.
-	links := peerlink.NewSet(f.host.dial).WithFallback(f.detour.Dial, mirrorPatience)
+	links := peerlink.NewPool(f.host.dial).WithFallback(f.detour.Dial, mirrorPatience)
 	return func() []feed.NamedMirror {
 		source := func(name, address string) feed.NamedMirror {
 			return feed.NamedMirror{Name: name, Mirror: mirror.NewClient(links.LinkTo(address))}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -113,7 +113,7 @@
 		log:      log,
 		metrics:  metrics.New(),
 		store:    platform.NewStore(settings.StoreAddress, host.dial),
-		links:    peerlink.NewSet(host.dial),
+		links:    peerlink.NewPool(host.dial),
 	}
 	b.apply(settings)
 	b.metrics.Gauge("rookpass_store_calls_total", func() float64 { return float64(b.store.Calls()) })
--- a/internal/node/readers.go
+++ b/internal/node/readers.go
@@ -25,7 +25,7 @@
 // a watch have a price. As many as may be lost at once, and
 // as many again, still leave one; where no reader can say, a daemon asks the store.
 func (b *base) readers(store *replica.Store) func() []feed.NamedMirror {
-	links := peerlink.NewSet(b.host.dial) // apart from those of turns: a watch that hangs must not break their calls
+	links := peerlink.NewPool(b.host.dial) // apart from those of turns: a watch that hangs must not break their calls
 	return func() []feed.NamedMirror {
 		l := store.Layout()
 		if l == nil {
--- a/internal/objects/mirror/mirror_test.go
+++ b/internal/objects/mirror/mirror_test.go
@@ -228,7 +228,7 @@
 		dial := func(ctx context.Context, _, address string) (net.Conn, error) {
 			return fabric.Dial(ctx, "front", address)
 		}
-		client := mirror.NewClient(peerlink.NewSet(dial).LinkTo("store:1"))
+		client := mirror.NewClient(peerlink.NewPool(dial).LinkTo("store:1"))
 		defer func() {
 			fabric.Kill("store")
 			time.Sleep(time.Minute) // timers of closed connections run out
--- a/internal/transport/peerlink/budget_test.go
+++ b/internal/transport/peerlink/budget_test.go
@@ -36,7 +36,7 @@
 		})
 		var direct, fallback atomic.Int64
 		second := dialer(fabric, "helper", &fallback)
-		set := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(second, 100*time.Millisecond)
+		set := peerlink.NewPool(dialer(fabric, "client", &direct)).WithFallback(second, 100*time.Millisecond)
 		const calls = 2000
 		var work sync.WaitGroup
 		over := atomic.Int64{}
--- a/internal/transport/peerlink/idle_test.go
+++ b/internal/transport/peerlink/idle_test.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
 		var open atomic.Int64
-		set := peerlink.NewSet(countOpen(fabric, "client", &open))
+		set := peerlink.NewPool(countOpen(fabric, "client", &open))
 		e := &Echo{}
 		serve(t, fabric, e)
 		link := set.LinkTo("server:1")
@@ -69,7 +69,7 @@
 		var open atomic.Int64
 		e := &Echo{release: make(chan struct{})}
 		serve(t, fabric, e)
-		link := peerlink.NewSet(countOpen(fabric, "client", &open)).LinkTo("server:1")
+		link := peerlink.NewPool(countOpen(fabric, "client", &open)).LinkTo("server:1")
 		go func() {
 			time.Sleep(20 * time.Second)
 			close(e.release)
@@ -95,7 +95,7 @@
 	var links []*peerlink.Link
 	text := "hello"
 	for b.Loop() {
-		link := peerlink.NewSet(new(net.Dialer).DialContext).LinkTo(listener.Addr().String())
+		link := peerlink.NewPool(new(net.Dialer).DialContext).LinkTo(listener.Addr().String())
 		_, err := peerlink.Call[string](context.Background(), link, "Echo.Say", &text)
 		assert.NilError(b, err)
 		links = append(links, link)
@@ -127,7 +127,7 @@
 		})
 		var dials, open atomic.Int64
 		counted := countOpen(fabric, "client", &open)
-		link := peerlink.NewSet(func(ctx context.Context, network, address string) (net.Conn, error) {
+		link := peerlink.NewPool(func(ctx context.Context, network, address string) (net.Conn, error) {
 			dials.Add(1)
 			return counted(ctx, network, address)
 		}).LinkTo("server:1")
--- a/internal/transport/peerlink/peerlink.go
+++ b/internal/transport/peerlink/peerlink.go
@@ -38,8 +38,8 @@
 	links map[string]*Link
 }
 
-// NewSet returns an empty pool without a fallback path.
-func NewSet(dial network.DialContext) *Pool {
+// NewPool returns an empty pool without a fallback path.
+func NewPool(dial network.DialContext) *Pool {
 	return &Pool{dial: dial, hedges: newHedgeBudget(), links: map[string]*Link{}}
 }
 
--- a/internal/transport/peerlink/peerlink_test.go
+++ b/internal/transport/peerlink/peerlink_test.go
@@ -69,7 +69,7 @@
 		fabric := memnet.New()
 		serve(t, fabric, &Echo{})
 		var dials atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &dials)).LinkTo("server:1")
+		link := peerlink.NewPool(dialer(fabric, "client", &dials)).LinkTo("server:1")
 		for range 3 {
 			assert.NilError(t, say(t, link, time.Second))
 		}
@@ -87,7 +87,7 @@
 		fabric := memnet.New()
 		serve(t, fabric, &Echo{})
 		var dials atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &dials)).LinkTo("server:1")
+		link := peerlink.NewPool(dialer(fabric, "client", &dials)).LinkTo("server:1")
 		text := ""
 		_, err := peerlink.Call[string](context.Background(), link, "Echo.Refuse", &text)
 		assert.ErrorContains(t, err, "refused")
@@ -105,7 +105,7 @@
 		e := &Echo{}
 		serve(t, fabric, e)
 		var direct, fallback atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &fallback), 100*time.Millisecond).LinkTo("server:1")
+		link := peerlink.NewPool(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &fallback), 100*time.Millisecond).LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
 		assert.Equal(t, fallback.Load(), int64(0))
 		fabric.Freeze("client")
@@ -131,7 +131,7 @@
 		serve(t, fabric, &Echo{})
 		fabric.Partition("client", "server")
 		var direct, fallback atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &fallback), time.Hour).LinkTo("server:1")
+		link := peerlink.NewPool(dialer(fabric, "client", &direct)).WithFallback(dialer(fabric, "helper", &fallback), time.Hour).LinkTo("server:1")
 		assert.NilError(t, say(t, link, time.Second))
 		fabric.Partition("helper", "server")
 		assert.ErrorIs(t, say(t, link, time.Second), peerlink.ErrUnreachable)
@@ -145,7 +145,7 @@
 		e := &Echo{release: make(chan struct{})}
 		serve(t, fabric, e)
 		var dials atomic.Int64
-		link := peerlink.NewSet(dialer(fabric, "client", &dials)).LinkTo("server:1")
+		link := peerlink.NewPool(dialer(fabric, "client", &dials)).LinkTo("server:1")
 		assert.ErrorIs(t, say(t, link, time.Second), peerlink.ErrUnreachable)
 		close(e.release)
 		assert.NilError(t, say(t, link, time.Second))
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -93,7 +93,7 @@
 	dial := dialFrom(c.fabric, name)
 	store, err := replica.OpenStore(c.folder(name), layout.Disk{Node: name, Address: name + ":1", DataCentre: name}, c.log.WithField("node", name))
 	assert.NilError(c.t, err)
-	controller := replica.NewController(replica.Options{Store: store, API: c.api, Links: peerlink.NewSet(dial), Retirements: retirements{c},
+	controller := replica.NewController(replica.Options{Store: store, API: c.api, Links: peerlink.NewPool(dial), Retirements: retirements{c},
 		Log: c.log.WithField("node", name), LayoutKey: layoutKey, CandidatesPrefix: "rookpass-disks/", FirstStart: first, Tolerance: c.tolerance})
 	listener, err := c.fabric.Listen(name, name+":1")
 	assert.NilError(c.t, err)
@@ -180,7 +180,7 @@
 
 // ledger returns a ledger on a host of its own that knows the layout in force.
 func (c *cluster) ledger(host string) *ledger.Ledger {
-	l := ledger.New(peerlink.NewSet(dialFrom(c.fabric, host)), place.Topology{DataCentre: host}, 1, c.log)
+	l := ledger.New(peerlink.NewPool(dialFrom(c.fabric, host)), place.Topology{DataCentre: host}, 1, c.log)
 	l.UpdateLayout(c.current())
 	c.t.Cleanup(func() { assert.NilError(c.t, l.Flush(context.Background())) })
 	return l
--- a/internal/turns/ledger/quorumwrite_test.go
+++ b/internal/turns/ledger/quorumwrite_test.go
@@ -37,7 +37,7 @@
 	for i := range disks {
 		regions[node(i)] = []string{"a", "b"}[i%2]
 	}
-	l := ledger.New(peerlink.NewSet(dialFrom(c.fabric, host)), place.Topology{DataCentre: host, Regions: regions}, 1, c.log)
+	l := ledger.New(peerlink.NewPool(dialFrom(c.fabric, host)), place.Topology{DataCentre: host, Regions: regions}, 1, c.log)
 	l.UpdateLayout(c.current())
 	c.t.Cleanup(func() { assert.NilError(c.t, l.Flush(within(c.t, time.Minute))) })
 	return l
