--- a/internal/base/eventlog/eventlog.go
+++ b/internal/base/eventlog/eventlog.go
@@ -27,20 +27,20 @@
 type Writer struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	queue   []byte
-	spare   []byte
-	allowed float64
-	filled  time.Time
-	closed  bool
-	wake    chan struct{}
-	done    chan struct{}
-	dropped atomic.Int64
+	mu       sync.Mutex
+	queue    []byte
+	spare    []byte
+	tokens   float64
+	refilled time.Time
+	closed   bool
+	wake     chan struct{}
+	done     chan struct{}
+	dropped  atomic.Int64
 }
 
 // New returns a writer to out.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, allowed: bytesPerSecond, filled: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{})}
+	w := &Writer{out: out, tokens: bytesPerSecond, refilled: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -53,13 +53,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.allowed = min(bytesPerSecond, w.allowed+now.Sub(w.filled).Seconds()*bytesPerSecond)
-	w.filled = now
-	if w.closed || len(w.queue)+len(line) > queueBytes || w.allowed < float64(len(line)) {
+	w.tokens = min(bytesPerSecond, w.tokens+now.Sub(w.refilled).Seconds()*bytesPerSecond)
+	w.refilled = now
+	if w.closed || len(w.queue)+len(line) > queueBytes || w.tokens < float64(len(line)) {
 		w.dropped.Add(1)
 		return len(line), nil
 	}
-	w.allowed -= float64(len(line))
+	w.tokens -= float64(len(line))
 	w.queue = append(w.queue, line...)
 	select {
 	case w.wake <- struct{}{}:
@@ -70,16 +70,16 @@
 
 func (w *Writer) run() {
 	defer close(w.done)
-	told := int64(0)
+	reported := int64(0)
 	for range w.wake {
 		time.Sleep(flushPause)
 		w.mu.Lock()
 		lines := w.queue
 		w.queue = w.spare[:0]
 		w.mu.Unlock()
-		if dropped := w.dropped.Load(); dropped > told {
-			lines = fmt.Appendf(lines, "level=warning event=log-dropped lines=%d\n", dropped-told)
-			told = dropped
+		if dropped := w.dropped.Load(); dropped > reported {
+			lines = fmt.Appendf(lines, "level=warning event=log-dropped lines=%d\n", dropped-reported)
+			reported = dropped
 		}
 		w.writeOut(lines)
 		w.mu.Lock()
