--- a/internal/base/place/place.go
+++ b/internal/base/place/place.go
@@ -22,12 +22,12 @@
 }
 
 // DistanceTo returns how far a data centre is. One whose region is not known counts as one of this region.
-func (m Topology) DistanceTo(dataCentre string) Distance {
-	if dataCentre == m.DataCentre {
+func (t Topology) DistanceTo(dataCentre string) Distance {
+	if dataCentre == t.DataCentre {
 		return SameDataCentre
 	}
-	region, known := m.Regions[dataCentre]
-	if own, ownKnown := m.Regions[m.DataCentre]; known && ownKnown && region != own {
+	region, known := t.Regions[dataCentre]
+	if own, ownKnown := t.Regions[t.DataCentre]; known && ownKnown && region != own {
 		return OtherRegion
 	}
 	return SameRegion
