--- a/internal/base/tlsfiles/issue.go
+++ b/internal/base/tlsfiles/issue.go
@@ -14,19 +14,19 @@
 	"time"
 )
 
-// validity of the certificates that Issue makes.
-const validity = 30 * 24 * time.Hour
+// certificateValidity of the certificates that Issue makes.
+const certificateValidity = 30 * 24 * time.Hour
 
 // serialBits is the size of a certificate's random serial number.
 const serialBits = 120
 
 // IssueDevelopment makes a development authority and a certificate for each name in a folder: ca.pem, NAME.pem and
 // NAME-key.pem. The certificates are for the given addresses. An authority that is there already is replaced.
-func IssueDevelopment(folder string, names []string, addresses []net.IP) error {
-	if err := os.MkdirAll(folder, 0o700); err != nil {
+func IssueDevelopment(dir string, names []string, addresses []net.IP) error {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return Error.Wrap(err)
 	}
-	authority, err := template("rookpass development authority", nil)
+	authority, err := certificateTemplate("rookpass development authority", nil)
 	if err != nil {
 		return err
 	}
@@ -36,11 +36,11 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	if err := write(folder, "ca", authority, authority, authorityKey, authorityKey); err != nil {
+	if err := writePair(dir, "ca", authority, authority, authorityKey, authorityKey); err != nil {
 		return err
 	}
 	for _, name := range names {
-		certificate, err := template(name, addresses)
+		certificate, err := certificateTemplate(name, addresses)
 		if err != nil {
 			return err
 		}
@@ -50,14 +50,14 @@
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		if err := write(folder, name, certificate, authority, key, authorityKey); err != nil {
+		if err := writePair(dir, name, certificate, authority, key, authorityKey); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func template(name string, addresses []net.IP) (*x509.Certificate, error) {
+func certificateTemplate(name string, addresses []net.IP) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -66,13 +66,13 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    time.Now().Add(-time.Minute),
-		NotAfter:     time.Now().Add(validity),
+		NotAfter:     time.Now().Add(certificateValidity),
 		IPAddresses:  addresses,
 	}, nil
 }
 
-// write signs a certificate and writes it and its key.
-func write(folder, name string, certificate, authority *x509.Certificate, key, authorityKey *ecdsa.PrivateKey) error {
+// writePair signs a certificate and writes it and its key.
+func writePair(dir, name string, certificate, authority *x509.Certificate, key, authorityKey *ecdsa.PrivateKey) error {
 	signed, err := x509.CreateCertificate(rand.Reader, certificate, authority, &key.PublicKey, authorityKey)
 	if err != nil {
 		return Error.Wrap(err)
@@ -83,8 +83,8 @@
 	}
 	certificatePEM := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: signed})
 	keyPEM := pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: encodedKey})
-	if err := os.WriteFile(filepath.Join(folder, name+".pem"), certificatePEM, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, name+".pem"), certificatePEM, 0o644); err != nil {
 		return Error.Wrap(err)
 	}
-	return Error.Wrap(os.WriteFile(filepath.Join(folder, name+"-key.pem"), keyPEM, 0o600))
+	return Error.Wrap(os.WriteFile(filepath.Join(dir, name+"-key.pem"), keyPEM, 0o600))
 }
--- a/internal/base/tlsfiles/tlsfiles.go
+++ b/internal/base/tlsfiles/tlsfiles.go
@@ -15,18 +15,18 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("tls")
 
-// recheck is how often the files' times are looked at, at most.
-const recheck = time.Second
+// recheckInterval is how often the files' times are looked at, at most.
+const recheckInterval = time.Second
 
 // Files is a set of PEM files. Use New.
 type Files struct {
 	ca, certificate, key string
 
-	mu      sync.Mutex
-	checked time.Time
-	changed time.Time
-	pool    *x509.CertPool
-	pair    *tls.Certificate
+	mu        sync.Mutex
+	lastCheck time.Time
+	modTime   time.Time
+	pool      *x509.CertPool
+	pair      *tls.Certificate
 }
 
 // New reads the files and returns an error if they do not fit together.
@@ -40,7 +40,7 @@
 // load reads the files again if one is newer than what is in use. Files that can't be read leave the former
 // ones in use.
 func (f *Files) load() error {
-	f.checked = time.Now()
+	f.lastCheck = time.Now()
 	var newest time.Time
 	for _, name := range []string{f.ca, f.certificate, f.key} {
 		info, err := os.Stat(name)
@@ -51,7 +51,7 @@
 			newest = info.ModTime()
 		}
 	}
-	if f.pair != nil && !newest.After(f.changed) {
+	if f.pair != nil && !newest.After(f.modTime) {
 		return nil
 	}
 	pem, err := os.ReadFile(f.ca)
@@ -66,7 +66,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	f.pool, f.pair, f.changed = pool, &pair, newest
+	f.pool, f.pair, f.modTime = pool, &pair, newest
 	return nil
 }
 
@@ -74,7 +74,7 @@
 func (f *Files) current() (*x509.CertPool, *tls.Certificate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.checked) > recheck {
+	if time.Since(f.lastCheck) > recheckInterval {
 		_ = f.load() // The former files stay in use; New has checked that there are some.
 	}
 	return f.pool, f.pair
