--- a/internal/order_test.go
+++ b/internal/order_test.go
@@ -14,8 +14,8 @@
 
 const importRoot = "github.com/rookpass/rookpass/internal/"
 
-// mayImport has, for each group, the groups that it may import beside itself. The order of README.md follows from it.
-var mayImport = map[string]string{
+// allowedImports has, for each group, the groups that it may import beside itself. The order of README.md follows from it.
+var allowedImports = map[string]string{
 	"base":      "",
 	"transport": "base",
 	"objects":   "base transport",
@@ -27,14 +27,14 @@
 	"testing":   "base transport objects decide turns front node rookpassd",
 }
 
-// wrongImport tells whether a package of one group may not import a path.
-func wrongImport(group, path string) bool {
+// forbiddenImport tells whether a package of one group may not import a path.
+func forbiddenImport(group, path string) bool {
 	rest, inside := strings.CutPrefix(path, importRoot)
 	if !inside {
 		return false
 	}
 	other, _, _ := strings.Cut(rest, "/")
-	return other != group && !strings.Contains(" "+mayImport[group]+" ", " "+other+" ")
+	return other != group && !strings.Contains(" "+allowedImports[group]+" ", " "+other+" ")
 }
 
 // TestGroupsImportOnlyThoseBelow: tests may import anything.
@@ -46,7 +46,7 @@
 		}
 		files++
 		group, _, _ := strings.Cut(filepath.ToSlash(path), "/")
-		_, known := mayImport[group]
+		_, known := allowedImports[group]
 		assert.Check(t, known, "%s is in no group", path)
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 		if err != nil {
@@ -55,7 +55,7 @@
 		for _, spec := range file.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
 			assert.NilError(t, err)
-			assert.Check(t, !wrongImport(group, imported), "%s imports %s", path, imported)
+			assert.Check(t, !forbiddenImport(group, imported), "%s imports %s", path, imported)
 		}
 		return nil
 	})
@@ -64,9 +64,9 @@
 }
 
 func TestOrderIsToldApart(t *testing.T) {
-	assert.Assert(t, wrongImport("base", importRoot+"front/gateway"))
-	assert.Assert(t, wrongImport("front", importRoot+"testing/workload"))
-	assert.Assert(t, !wrongImport("front", importRoot+"base/wait"))
-	assert.Assert(t, !wrongImport("front", importRoot+"front/catalog"))
-	assert.Assert(t, !wrongImport("front", "github.com/sirupsen/logrus"))
+	assert.Assert(t, forbiddenImport("base", importRoot+"front/gateway"))
+	assert.Assert(t, forbiddenImport("front", importRoot+"testing/workload"))
+	assert.Assert(t, !forbiddenImport("front", importRoot+"base/wait"))
+	assert.Assert(t, !forbiddenImport("front", importRoot+"front/catalog"))
+	assert.Assert(t, !forbiddenImport("front", "github.com/sirupsen/logrus"))
 }
