--- a/internal/testing/loadlog/loadlog.go
+++ b/internal/testing/loadlog/loadlog.go
@@ -28,7 +28,7 @@
 // maxLine bounds a line of the log, in bytes.
 const maxLine = 1 << 20
 
-var field = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
+var fieldPattern = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
 // Read returns the turns that the lines of a log tell of. Lines of other events are passed over, and so is what
 // stands before a line's first field.
@@ -38,16 +38,16 @@
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for n := 1; scanner.Scan(); n++ {
-		fields := parse(scanner.Text())
+		fields := parseFields(scanner.Text())
 		switch fields["event"] {
 		case "turn":
 			turnIDs[fields["id"]] = true
 		case "request":
-			turn, tried, err := decode(fields)
+			turn, sent, err := decodeRequest(fields)
 			if err != nil {
 				return nil, Error.New("line %d: %w", n, err)
 			}
-			if tried {
+			if sent {
 				requests[fields["id"]] = turn
 			}
 		}
@@ -65,9 +65,9 @@
 	return turns, nil
 }
 
-func parse(line string) map[string]string {
+func parseFields(line string) map[string]string {
 	fields := map[string]string{}
-	for _, m := range field.FindAllStringSubmatch(line, -1) {
+	for _, m := range fieldPattern.FindAllStringSubmatch(line, -1) {
 		value := m[2]
 		if unquoted, err := strconv.Unquote(value); err == nil {
 			value = unquoted
@@ -77,17 +77,17 @@
 	return fields
 }
 
-// decode returns the last try of a request; false where it was never sent.
-func decode(fields map[string]string) (Turn, bool, error) {
+// decodeRequest returns the last try of a request; false where it was never sent.
+func decodeRequest(fields map[string]string) (Turn, bool, error) {
 	if fields["attempts"] == "" {
 		return Turn{}, false, nil
 	}
-	tries := strings.Split(fields["attempts"], ",")
-	last := strings.Split(tries[len(tries)-1], "/")
+	attempts := strings.Split(fields["attempts"], ",")
+	last := strings.Split(attempts[len(attempts)-1], "/")
 	if len(last) < 3 {
-		return Turn{}, false, Error.New("attempt %q is not server/outcome/time", tries[len(tries)-1])
+		return Turn{}, false, Error.New("attempt %q is not server/outcome/time", attempts[len(attempts)-1])
 	}
-	took, err := time.ParseDuration(last[2])
+	duration, err := time.ParseDuration(last[2])
 	if err != nil {
 		return Turn{}, false, err
 	}
@@ -99,7 +99,7 @@
 	if err != nil {
 		return Turn{}, false, err
 	}
-	return Turn{Server: last[0], Ended: ended, Began: ended.Add(-took), Arrived: ended.Add(-time.Duration(ms) * time.Millisecond)}, true, nil
+	return Turn{Server: last[0], Ended: ended, Began: ended.Add(-duration), Arrived: ended.Add(-time.Duration(ms) * time.Millisecond)}, true, nil
 }
 
 // Write prints a line for each step: the turns under way in all and on each server, and the median and the ninth
@@ -118,12 +118,12 @@
 		return err
 	}
 	for at := start; at.Before(end); at = at.Add(step) {
-		counts, took := underWay(turns, servers, at, step)
+		counts, durations := activeTurns(turns, servers, at, step)
 		total := 0
 		for _, n := range counts {
 			total += n
 		}
-		_, err := fmt.Fprintf(w, "%6.1f  %5d  %5d  %6d  %6d  %v\n", at.Sub(start).Seconds(), total, len(took), share(took, 0.5), share(took, 0.9), counts)
+		_, err := fmt.Fprintf(w, "%6.1f  %5d  %5d  %6d  %6d  %v\n", at.Sub(start).Seconds(), total, len(durations), quantile(durations, 0.5), quantile(durations, 0.9), counts)
 		if err != nil {
 			return err
 		}
@@ -131,18 +131,18 @@
 	return nil
 }
 
-// underWay returns how many turns each server has at a time, the least busy first, and how long those took that end
+// activeTurns returns how many turns each server has at a time, the least busy first, and how long those took that end
 // within the step.
-func underWay(turns []Turn, servers map[string]int, at time.Time, step time.Duration) ([]int, []time.Duration) {
+func activeTurns(turns []Turn, servers map[string]int, at time.Time, step time.Duration) ([]int, []time.Duration) {
 	clear(servers)
-	var took []time.Duration
+	var durations []time.Duration
 	for _, t := range turns {
 		servers[t.Server] += 0
 		if !t.Began.After(at) && t.Ended.After(at) {
 			servers[t.Server]++
 		}
 		if !t.Ended.Before(at) && t.Ended.Before(at.Add(step)) {
-			took = append(took, t.Ended.Sub(t.Arrived))
+			durations = append(durations, t.Ended.Sub(t.Arrived))
 		}
 	}
 	var counts []int
@@ -150,14 +150,14 @@
 		counts = append(counts, n)
 	}
 	slices.Sort(counts)
-	slices.Sort(took)
-	return counts, took
+	slices.Sort(durations)
+	return counts, durations
 }
 
-// share returns the value below which a share of the sorted times lies, in milliseconds.
-func share(times []time.Duration, of float64) int64 {
-	if len(times) == 0 {
+// quantile returns the value below which a quantile of the sorted times lies, in milliseconds.
+func quantile(sorted []time.Duration, q float64) int64 {
+	if len(sorted) == 0 {
 		return 0
 	}
-	return times[min(len(times)-1, int(of*float64(len(times))))].Milliseconds()
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))].Milliseconds()
 }
