--- a/internal/testing/plots/plots.go
+++ b/internal/testing/plots/plots.go
@@ -24,8 +24,8 @@
 const (
 	width  = 9 * vg.Inch
 	height = 5 * vg.Inch
-	// smallestPrice is the least mean price that gets a bar of its own.
-	smallestPrice = 0.0005
+	// minMeanDeduction is the least mean price that gets a bar of its own.
+	minMeanDeduction = 0.0005
 )
 
 // Day is one day that was played.
@@ -50,15 +50,15 @@
 		return nil, Error.Wrap(err)
 	}
 	var files []string
-	for _, drawing := range []struct {
+	for _, entry := range []struct {
 		name string
 		draw func([]Day) (*plot.Plot, error)
-	}{{"worth", worth}, {"prices", prices}, {"cost-by-size", costBySize}} {
-		p, err := drawing.draw(days)
+	}{{"worth", plotScores}, {"prices", plotDeductions}, {"cost-by-size", plotCostBySize}} {
+		p, err := entry.draw(days)
 		if err != nil {
-			return files, Error.New("%s: %w", drawing.name, err)
+			return files, Error.New("%s: %w", entry.name, err)
 		}
-		file := filepath.Join(dir, drawing.name+".png")
+		file := filepath.Join(dir, entry.name+".png")
 		if err := p.Save(width, height, file); err != nil {
 			return files, Error.Wrap(err)
 		}
@@ -67,8 +67,8 @@
 	return files, nil
 }
 
-// bySite groups days, the sites in the order of their names.
-func bySite(days []Day) (sites []string, grouped map[string][]Day) {
+// groupBySite groups days, the sites in the order of their names.
+func groupBySite(days []Day) (sites []string, grouped map[string][]Day) {
 	grouped = map[string][]Day{}
 	for _, d := range days {
 		grouped[d.Site] = append(grouped[d.Site], d)
@@ -80,13 +80,13 @@
 	return sites, grouped
 }
 
-// worth shows each day's worth at the time when it was played; broken days are red.
-func worth(days []Day) (*plot.Plot, error) {
+// plotScores shows each day's plotScores at the time when it was played; broken days are red.
+func plotScores(days []Day) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Worth of each day played", "worth, 1 at best"
 	p.X.Tick.Marker = plot.TimeTicks{Format: "01-02\n15:04"}
 	p.Legend.Left = true
-	sites, grouped := bySite(days)
+	sites, grouped := groupBySite(days)
 	var broken plotter.XYs
 	for i, site := range sites {
 		var points plotter.XYs
@@ -98,32 +98,32 @@
 			}
 			points = append(points, xy)
 		}
-		if err := scatter(p, site, points, plotutil.Color(i)); err != nil {
+		if err := addScatter(p, site, points, plotutil.Color(i)); err != nil {
 			return nil, err
 		}
 	}
-	return p, scatter(p, "a rule broken", broken, color.RGBA{R: 220, A: 255})
+	return p, addScatter(p, "a rule broken", broken, color.RGBA{R: 220, A: 255})
 }
 
-// prices shows the mean of what each thing took off a day's worth, a group of bars a site.
-func prices(days []Day) (*plot.Plot, error) {
+// plotDeductions shows the mean of what each thing took off a day's worth, a group of bars a site.
+func plotDeductions(days []Day) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "What prices took off a day's worth, mean", "worth"
-	sites, grouped := bySite(days)
+	sites, grouped := groupBySite(days)
 	means := map[string]plotter.Values{}
 	for i, site := range sites {
 		for _, d := range grouped[site] {
-			for name, taken := range d.Deductions {
+			for name, amount := range d.Deductions {
 				if means[name] == nil {
 					means[name] = make(plotter.Values, len(sites))
 				}
-				means[name][i] += taken / float64(len(grouped[site]))
+				means[name][i] += amount / float64(len(grouped[site]))
 			}
 		}
 	}
 	var names []string
 	for name, values := range means {
-		if slices.Max(values) >= smallestPrice {
+		if slices.Max(values) >= minMeanDeduction {
 			names = append(names, name)
 		}
 	}
@@ -144,28 +144,28 @@
 	return p, nil
 }
 
-// costBySize shows what all prices of a day took together, by the number of VMs.
-func costBySize(days []Day) (*plot.Plot, error) {
+// plotCostBySize shows what all prices of a day took together, by the number of VMs.
+func plotCostBySize(days []Day) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Cost of a day by size", "VMs", "worth taken by all prices"
-	sites, grouped := bySite(days)
+	sites, grouped := groupBySite(days)
 	for i, site := range sites {
 		var points plotter.XYs
 		for _, d := range grouped[site] {
 			total := 0.0
-			for _, taken := range d.Deductions {
-				total += taken
+			for _, amount := range d.Deductions {
+				total += amount
 			}
 			points = append(points, plotter.XY{X: float64(d.VMs), Y: total})
 		}
-		if err := scatter(p, site, points, plotutil.Color(i)); err != nil {
+		if err := addScatter(p, site, points, plotutil.Color(i)); err != nil {
 			return nil, err
 		}
 	}
 	return p, nil
 }
 
-func scatter(p *plot.Plot, name string, points plotter.XYs, c color.Color) error {
+func addScatter(p *plot.Plot, name string, points plotter.XYs, c color.Color) error {
 	if len(points) == 0 {
 		return nil
 	}
