--- a/internal/testing/testbubble/testbubble.go
+++ b/internal/testing/testbubble/testbubble.go
@@ -12,8 +12,8 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/journal"
 )
 
-// settle is longer than any timer that a closed client or server leaves behind.
-const settle = time.Hour
+// settleTime is longer than any timer that a closed client or server leaves behind.
+const settleTime = time.Hour
 
 // Prepare must be called once for a test binary, from TestMain. Some libraries make goroutines and channels
 // for the whole process at their first use, which must not be in a bubble: fasthttp's date and the codec's
@@ -32,7 +32,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		// Cleanups run last in, first out: this one is the last.
-		t.Cleanup(func() { time.Sleep(settle) })
+		t.Cleanup(func() { time.Sleep(settleTime) })
 		f(t)
 	})
 }
