--- a/internal/testing/soak/cluster.go
+++ b/internal/testing/soak/cluster.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// tolerance is how many disks the daemons must bear to lose at once.
-	tolerance = 1
+	// diskFaultTolerance is how many disks the daemons must bear to lose at once.
+	diskFaultTolerance = 1
 	// graceSeconds is the time between SIGTERM and SIGKILL.
 	graceSeconds = 8
-	// startTime bounds how long the daemons may take to be ready at first.
-	startTime = 20 * time.Second
+	// readyTimeout bounds how long the daemons may take to be ready at first.
+	readyTimeout = 20 * time.Second
 )
 
 // server is a backend server behind a link that can be harmed.
@@ -32,7 +32,7 @@
 	link *proxy
 }
 
-func serve(place int, checker *workload.Checker) (*server, error) {
+func startServer(index int, checker *workload.Checker) (*server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &server{Server: workload.NewServer(place, link.address(), checker), link: link}
+	s := &server{Server: workload.NewServer(index, link.address(), checker), link: link}
 	s.http = &http.Server{Handler: s.Server, ConnContext: s.ConnContext}
 	go func() { _ = s.http.Serve(listener) }()
 	return s, nil
@@ -54,10 +54,10 @@
 	// store and callers are its links to the platform's store and, for a front, from callers.
 	store, callers *proxy
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	ending bool
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool
 }
 
 // Cluster is a run's processes and stand-ins.
@@ -74,63 +74,63 @@
 
 	mu      sync.Mutex
 	version int64
-	// withdrawn tells that the bounded organisation is taken away.
-	withdrawn bool
+	// revoked tells that the bounded organisation is taken away.
+	revoked bool
 }
 
 // NewCluster starts the stand-ins and the daemons of a plan. network picks the second byte of the VMs' loopback
 // addresses, so that runs beside one another do not meet. dir takes settings, disks and logs.
 func NewCluster(plan Plan, binary, dir string, network int) (*Cluster, error) {
-	w := &Cluster{plan: plan, binary: binary, dir: dir, checker: workload.NewChecker(), store: platformtest.NewStore()}
+	c := &Cluster{plan: plan, binary: binary, dir: dir, checker: workload.NewChecker(), store: platformtest.NewStore()}
 	// Faults overlap here: a paused daemon, or one that the store turns away, can't know who leaves.
-	w.checker.AllowLateArrivals(time.Now().Add(24 * time.Hour))
+	c.checker.AllowLateArrivals(time.Now().Add(24 * time.Hour))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w.storeHTTP = &http.Server{Handler: w.store}
-	go func() { _ = w.storeHTTP.Serve(listener) }()
+	c.storeHTTP = &http.Server{Handler: c.store}
+	go func() { _ = c.storeHTTP.Serve(listener) }()
 	for i := range plan.Servers {
-		s, err := serve(i, w.checker)
+		s, err := startServer(i, c.checker)
 		if err != nil {
 			return nil, err
 		}
-		w.servers = append(w.servers, s)
-		w.store.SetServer(s.Entry())
+		c.servers = append(c.servers, s)
+		c.store.SetServer(s.Entry())
 	}
-	w.configure()
+	c.putNextConfig()
 	var seeds []string
 	for i := range plan.Stores {
 		seeds = append(seeds, fmt.Sprintf("127.%d.1.%d:%d", network, i+1, platformtest.ControlPort))
 	}
 	for i := range plan.Fronts + plan.Stores {
-		if err := w.add(i, network, listener.Addr().String(), seeds); err != nil {
+		if err := c.addProcess(i, network, listener.Addr().String(), seeds); err != nil {
 			return nil, err
 		}
 	}
-	for _, p := range w.processes {
-		if err := w.start(p); err != nil {
+	for _, p := range c.processes {
+		if err := c.start(p); err != nil {
 			return nil, err
 		}
 	}
-	return w, w.awaitReady()
+	return c, c.awaitReady()
 }
 
-func (w *Cluster) add(i, network int, store string, seeds []string) error {
+func (c *Cluster) addProcess(i, network int, store string, seeds []string) error {
 	p := &process{class: "front", node: fmt.Sprint("front-", i), ip: fmt.Sprintf("127.%d.0.%d", network, i+1)}
-	if i >= w.plan.Fronts {
-		j := i - w.plan.Fronts
+	if i >= c.plan.Fronts {
+		j := i - c.plan.Fronts
 		p.class, p.node, p.ip = "store", fmt.Sprint("store-", j), fmt.Sprintf("127.%d.1.%d", network, j+1)
 	}
-	p.dir = filepath.Join(w.dir, p.node)
+	p.dir = filepath.Join(c.dir, p.node)
 	link, err := newProxy(store)
 	if err != nil {
 		return err
 	}
 	p.store = link
 	p.settings = platformtest.Settings{Node: p.node, Class: p.class, IP: p.ip, DataCentre: fmt.Sprint("dc", i%3), FirstStart: true,
-		StoreAddress: link.address(), Seeds: seeds[:min(3, len(seeds))], ToleratedFailures: tolerance, GraceSeconds: graceSeconds,
-		MaxRevocationDelayMS: int(withdrawal.Milliseconds())}
+		StoreAddress: link.address(), Seeds: seeds[:min(3, len(seeds))], ToleratedFailures: diskFaultTolerance, GraceSeconds: graceSeconds,
+		MaxRevocationDelayMS: int(revocationTime.Milliseconds())}
 	if p.class == "front" {
 		if p.callers, err = newProxy(fmt.Sprintf("%s:%d", p.ip, platformtest.CallerPort)); err != nil {
 			return err
@@ -138,24 +138,24 @@
 	} else {
 		p.settings.DataDir = filepath.Join(p.dir, "data")
 	}
-	w.processes = append(w.processes, p)
+	c.processes = append(c.processes, p)
 	return os.MkdirAll(p.dir, 0o755)
 }
 
-// configure puts the next version in force.
-func (w *Cluster) configure() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
+// putNextConfig puts the next version in force.
+func (c *Cluster) putNextConfig() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.version++
 	organisations := workload.Organisations()
-	if !w.withdrawn {
-		organisations = append(organisations, workload.OrganisationOf(boundedName, boundedRate))
+	if !c.revoked {
+		organisations = append(organisations, workload.OrganisationOf(limitedOrganisation, limitedRate))
 	}
-	w.store.SetConfig(workload.Config(w.version), organisations...)
+	c.store.SetConfig(workload.Config(c.version), organisations...)
 }
 
 // start runs a daemon's program. A daemon that ends without being asked to breaks a promise.
-func (w *Cluster) start(p *process) error {
+func (c *Cluster) start(p *process) error {
 	path := filepath.Join(p.dir, "settings.toml")
 	if err := platformtest.WriteSettings(path, p.settings); err != nil {
 		return err
@@ -164,39 +164,39 @@
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(w.binary, p.class)
+	cmd := exec.Command(c.binary, p.class)
 	cmd.Env = append(os.Environ(), platformtest.EnvSettings+"="+path, "GOMAXPROCS=1")
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return errors.Join(err, out.Close())
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.ended, p.ending = cmd, ended, false
+	p.cmd, p.exited, p.exitExpected = cmd, exited, false
 	p.settings.FirstStart = false
 	p.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		_ = out.Close()
 		p.mu.Lock()
-		if !p.ending {
-			w.checker.AddViolation("%s ended by itself: %v", p.node, err)
+		if !p.exitExpected {
+			c.checker.AddViolation("%s ended by itself: %v", p.node, err)
 		}
 		p.mu.Unlock()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
 // signal sends a signal to a running daemon. ends tells that it is meant to end by it.
-func (p *process) signal(s syscall.Signal, ends bool) (<-chan struct{}, bool) {
+func (p *process) signal(s syscall.Signal, expectExit bool) (<-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.ending {
+	if p.cmd == nil || p.exitExpected {
 		return nil, false
 	}
-	p.ending = p.ending || ends
-	return p.ended, p.cmd.Process.Signal(s) == nil
+	p.exitExpected = p.exitExpected || expectExit
+	return p.exited, p.cmd.Process.Signal(s) == nil
 }
 
 // resume lets a paused process go on, also one that was asked to stop meanwhile: a stopped process handles no signal, so it
@@ -210,33 +210,33 @@
 }
 
 // restart ends a daemon, does something to its disk, and starts it again after a time.
-func (w *Cluster) restart(p *process, s syscall.Signal, after time.Duration, disk func(dir string) error) {
-	ended, sent := p.signal(s, true)
+func (c *Cluster) restart(p *process, s syscall.Signal, downTime time.Duration, damage func(dir string) error) {
+	exited, sent := p.signal(s, true)
 	if !sent {
 		return
 	}
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After((graceSeconds + 1) * time.Second):
-		w.checker.AddViolation("%s still ran %d s after SIGTERM", p.node, graceSeconds+1)
+		c.checker.AddViolation("%s still ran %d s after SIGTERM", p.node, graceSeconds+1)
 		_ = p.cmd.Process.Kill()
-		<-ended
+		<-exited
 	}
-	if disk != nil {
-		if err := disk(p.settings.DataDir); err != nil {
-			w.checker.AddViolation("soak: %v", err)
+	if damage != nil {
+		if err := damage(p.settings.DataDir); err != nil {
+			c.checker.AddViolation("soak: %v", err)
 		}
 	}
-	time.Sleep(after)
-	if err := w.start(p); err != nil {
-		w.checker.AddViolation("soak: %v", err)
+	time.Sleep(downTime)
+	if err := c.start(p); err != nil {
+		c.checker.AddViolation("soak: %v", err)
 	}
 }
 
 // awaitReady waits until every front says that it is ready.
-func (w *Cluster) awaitReady() error {
+func (c *Cluster) awaitReady() error {
 	client := &http.Client{Timeout: time.Second}
-	for _, p := range w.processes {
+	for _, p := range c.processes {
 		if p.class != "front" {
 			continue
 		}
@@ -249,7 +249,7 @@
 }
 
 func awaitOK(client *http.Client, url string) error {
-	deadline := time.Now().Add(startTime)
+	deadline := time.Now().Add(readyTimeout)
 	for {
 		resp, err := client.Get(url)
 		if err == nil {
@@ -267,9 +267,9 @@
 }
 
 // Close ends every process that this world started, by its id, and the stand-ins.
-func (w *Cluster) Close() {
-	w.wg.Wait()
-	for _, p := range w.processes {
+func (c *Cluster) Close() {
+	c.wg.Wait()
+	for _, p := range c.processes {
 		if ended, sent := p.signal(syscall.SIGKILL, true); sent {
 			<-ended
 		}
@@ -278,9 +278,9 @@
 			p.callers.close()
 		}
 	}
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		_ = s.http.Close()
 		s.link.close()
 	}
-	_ = w.storeHTTP.Close()
+	_ = c.storeHTTP.Close()
 }
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -87,8 +87,8 @@
 // SmallSize is a run of a few seconds with a dozen processes.
 var SmallSize = Size{Fronts: 3, Stores: 3, Servers: 6, Callers: 8, Length: 8 * time.Second}
 
-// diskRest is the time that a lost disk needs before another may be lost: its restart and refill.
-const diskRest = 6 * time.Second
+// diskRecoveryTime is the time that a lost disk needs before another may be lost: its restart and refill.
+const diskRecoveryTime = 6 * time.Second
 
 // GeneratePlan returns the plan of a seed: series of faults that may overlap, but never more disks lost at once than
 // the one that is borne.
@@ -100,36 +100,36 @@
 	if r.IntN(4) == 0 {
 		kinds = append(kinds, KillAll, KillAll)
 	}
-	var diskFree time.Duration
+	var nextDiskFault time.Duration
 	for at := time.Second; at < size.Length; at += time.Duration(100+r.IntN(900)) * time.Millisecond {
 		f := Fault{Kind: kinds[r.IntN(len(kinds))], At: at, For: time.Duration(200+r.IntN(2500)) * time.Millisecond}
 		switch f.Kind {
 		case DiskWipe, TornWrite:
-			if at < diskFree {
+			if at < nextDiskFault {
 				continue
 			}
-			diskFree = at + f.For + diskRest
+			nextDiskFault = at + f.For + diskRecoveryTime
 			f.Target = r.IntN(size.Stores)
 		case Pause, Kill, Term, LinkDelay, LinkReset, LinkOneWay, LinkBlackhole:
 			f.Target = r.IntN(size.Fronts + size.Stores)
 		case ServerHang, ServerTruncate, ServerDuplicate, ServerShed, ServerDrain:
 			f.Target = r.IntN(size.Servers)
 		case KillAll:
-			diskFree = max(diskFree, at+f.For+diskRest)
+			nextDiskFault = max(nextDiskFault, at+f.For+diskRecoveryTime)
 		}
 		p.Faults = append(p.Faults, f)
 	}
-	p.Faults = append(p.Faults, drawEntries(seed, size)...)
-	p.Faults = append(p.Faults, drawKeys(seed))
-	slices.SortStableFunc(p.Faults, byTime)
+	p.Faults = append(p.Faults, generateEntryFaults(seed, size)...)
+	p.Faults = append(p.Faults, generateKeyFault(seed))
+	slices.SortStableFunc(p.Faults, compareByTime)
 	return p
 }
 
-func byTime(a, b Fault) int { return cmp.Compare(a.At, b.At) }
+func compareByTime(a, b Fault) int { return cmp.Compare(a.At, b.At) }
 
-// drawEntries draws what befalls servers' starts and entries. It has numbers of its own, so that what a seed draws of the
+// generateEntryFaults draws what befalls servers' starts and entries. It has numbers of its own, so that what a seed draws of the
 // other faults does not depend on it.
-func drawEntries(seed uint64, size Size) []Fault {
+func generateEntryFaults(seed uint64, size Size) []Fault {
 	r := rand.New(rand.NewPCG(seed, 2))
 	var faults []Fault
 	for at := time.Second; at < size.Length; at += time.Duration(500+r.IntN(3000)) * time.Millisecond {
@@ -139,11 +139,11 @@
 	return faults
 }
 
-// drawKeys draws when an organisation is taken away: for longer than the time within which everybody must know.
-func drawKeys(seed uint64) Fault {
+// generateKeyFault draws when an organisation is taken away: for longer than the time within which everybody must know.
+func generateKeyFault(seed uint64) Fault {
 	r := rand.New(rand.NewPCG(seed, 3))
 	return Fault{Kind: KeyRevoke, At: time.Duration(500+r.IntN(2000)) * time.Millisecond,
-		For: withdrawal + time.Duration(500+r.IntN(1500))*time.Millisecond}
+		For: revocationTime + time.Duration(500+r.IntN(1500))*time.Millisecond}
 }
 
 // ParsePlan reads a plan that String wrote, and names what is wrong with it.
@@ -160,7 +160,7 @@
 			return p, fmt.Errorf("plan: fault %d: no target %d", i, f.Target)
 		}
 	}
-	slices.SortStableFunc(p.Faults, byTime)
+	slices.SortStableFunc(p.Faults, compareByTime)
 	return p, nil
 }
 
--- a/internal/testing/soak/proxy.go
+++ b/internal/testing/soak/proxy.go
@@ -19,11 +19,11 @@
 	reset
 	// oneWay lets nothing back.
 	oneWay
-	// silent lets nothing through either way; the bytes follow once it ends.
-	silent
+	// blackhole lets nothing through either way; the bytes follow once it ends.
+	blackhole
 )
 
-const delayTime = 60 * time.Millisecond
+const addedDelay = 60 * time.Millisecond
 
 // proxy carries connections to a target and harms them.
 type proxy struct {
@@ -56,7 +56,7 @@
 	p.changed = make(chan struct{})
 	if m == reset {
 		for conn := range p.conns {
-			cut(conn)
+			resetConn(conn)
 		}
 	}
 }
@@ -67,8 +67,8 @@
 	p.set(reset)
 }
 
-// cut ends a connection with a reset.
-func cut(conn net.Conn) {
+// resetConn ends a connection with a reset.
+func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -77,34 +77,34 @@
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.carry(near)
+		go p.forward(client)
 	}
 }
 
-func (p *proxy) carry(near net.Conn) {
-	far, err := net.DialTimeout("tcp", p.target, time.Second)
-	if err != nil || !p.track(near, far) {
-		cut(near)
-		if far != nil {
-			cut(far)
+func (p *proxy) forward(client net.Conn) {
+	upstream, err := net.DialTimeout("tcp", p.target, time.Second)
+	if err != nil || !p.trackConns(client, upstream) {
+		resetConn(client)
+		if upstream != nil {
+			resetConn(upstream)
 		}
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { p.copy(far, near, false) })
-	wg.Go(func() { p.copy(near, far, true) })
+	wg.Go(func() { p.copy(upstream, client, false) })
+	wg.Go(func() { p.copy(client, upstream, true) })
 	wg.Wait()
 	p.mu.Lock()
-	delete(p.conns, near)
-	delete(p.conns, far)
+	delete(p.conns, client)
+	delete(p.conns, upstream)
 	p.mu.Unlock()
 }
 
-func (p *proxy) track(conns ...net.Conn) bool {
+func (p *proxy) trackConns(conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == reset {
@@ -117,13 +117,13 @@
 }
 
 // copy passes bytes on until either side ends, and passes the kind of end on too.
-func (p *proxy) copy(to, from net.Conn, back bool) {
+func (p *proxy) copy(to, from net.Conn, towardsClient bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && p.admit(back) {
+		if n > 0 && p.awaitPass(towardsClient) {
 			if _, err := to.Write(buffer[:n]); err != nil {
-				cut(from)
+				resetConn(from)
 				return
 			}
 		}
@@ -131,15 +131,15 @@
 			if errors.Is(err, io.EOF) {
 				_ = to.Close()
 			} else {
-				cut(to)
+				resetConn(to)
 			}
 			return
 		}
 	}
 }
 
-// admit waits for as long as the mode asks, and tells whether the bytes may pass.
-func (p *proxy) admit(back bool) bool {
+// awaitPass waits for as long as the mode asks, and tells whether the bytes may pass.
+func (p *proxy) awaitPass(towardsClient bool) bool {
 	for {
 		p.mu.Lock()
 		m, changed := p.mode, p.changed
@@ -148,9 +148,9 @@
 		case m == reset:
 			return false
 		case m == delay:
-			time.Sleep(delayTime)
+			time.Sleep(addedDelay)
 			return true
-		case m == silent, m == oneWay && back:
+		case m == blackhole, m == oneWay && towardsClient:
 			<-changed
 		default:
 			return true
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -22,20 +22,20 @@
 	Counts     map[string]int
 }
 
-// questionShare: one caller in so many asks for turns that are not kept.
-const questionShare = 3
+// resumableInterval: one caller in so many asks for turns that are not kept.
+const resumableInterval = 3
 
 // Run plays a plan and checks the promises.
 func Run(ctx context.Context, plan Plan, binary, dir string, network int) (Result, error) {
-	w, err := NewCluster(plan, binary, dir, network)
-	if w != nil {
-		defer w.Close()
+	cluster, err := NewCluster(plan, binary, dir, network)
+	if cluster != nil {
+		defer cluster.Close()
 	}
 	if err != nil {
 		return Result{}, err
 	}
 	var fronts []string
-	for _, p := range w.processes {
+	for _, p := range cluster.processes {
 		if p.callers != nil {
 			fronts = append(fronts, p.callers.address())
 		}
@@ -44,41 +44,41 @@
 	var callers sync.WaitGroup
 	var all []*workload.Caller
 	for i := range plan.Callers {
-		c := workload.NewCaller(fronts, w.checker, plan.Seed*1000+uint64(i), nil)
+		c := workload.NewCaller(fronts, cluster.checker, plan.Seed*1000+uint64(i), nil)
 		all = append(all, c)
 		work := workload.Programs
-		if i%questionShare == 0 {
+		if i%resumableInterval == 0 {
 			work = workload.ResumablePrograms
 		}
 		callers.Go(func() { c.Run(work, stop) })
 	}
-	for i := range boundedCallers {
-		c := workload.NewCaller(fronts, w.checker, plan.Seed*1000+uint64(plan.Callers+i), nil).ForOrganisation(boundedName)
+	for i := range limitedCallers {
+		c := workload.NewCaller(fronts, cluster.checker, plan.Seed*1000+uint64(plan.Callers+i), nil).ForOrganisation(limitedOrganisation)
 		callers.Go(func() { c.Run(workload.IdempotentCalls, stop) })
 	}
-	w.play(ctx)
-	w.wg.Wait() // the organisation is back
+	cluster.injectFaults(ctx)
+	cluster.wg.Wait() // the organisation is back
 	close(stop)
 	callers.Wait()
-	w.heal()
-	w.checkRecovery(all)
-	w.checkLimit()
-	return Result{Violations: w.checker.Violations(), Counts: w.checker.Counts()}, ctx.Err()
+	cluster.awaitFaultsUndone()
+	cluster.checkRecovery(all)
+	cluster.checkRateLimit()
+	return Result{Violations: cluster.checker.Violations(), Counts: cluster.checker.Counts()}, ctx.Err()
 }
 
-// play strikes with each fault at its time.
-func (w *Cluster) play(ctx context.Context) {
+// injectFaults strikes with each fault at its time.
+func (c *Cluster) injectFaults(ctx context.Context) {
 	began := time.Now()
-	for _, f := range w.plan.Faults {
-		if !sleepUntil(ctx, began.Add(f.At)) {
+	for _, f := range c.plan.Faults {
+		if !waitUntil(ctx, began.Add(f.At)) {
 			return
 		}
-		w.wg.Go(func() { w.strike(f) })
+		c.wg.Go(func() { c.inject(f) })
 	}
-	sleepUntil(ctx, began.Add(w.plan.Length))
+	waitUntil(ctx, began.Add(c.plan.Length))
 }
 
-func sleepUntil(ctx context.Context, at time.Time) bool {
+func waitUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-time.After(time.Until(at)):
 		return true
@@ -87,32 +87,32 @@
 	}
 }
 
-// strike does one fault, and undoes it after its time.
-func (w *Cluster) strike(f Fault) {
+// inject does one fault, and undoes it after its time.
+func (c *Cluster) inject(f Fault) {
 	switch f.Kind {
 	case Pause, Kill, Term, DiskWipe, TornWrite, KillAll:
-		w.strikeProcess(f)
+		c.injectProcessFault(f)
 	case StoreDown, StoreHang, StoreLost, StoreCompact:
-		w.strikeStore(f)
+		c.injectStoreFault(f)
 	case LinkDelay, LinkReset, LinkOneWay, LinkBlackhole:
-		w.strikeLinks(f)
+		c.injectLinkFaults(f)
 	case ServerDrain:
-		w.replaceServer(f)
+		c.replaceServer(f)
 	case ServerRestart:
-		s := w.servers[f.Target%len(w.servers)]
+		s := c.servers[f.Target%len(c.servers)]
 		s.Restart()
 		time.Sleep(f.For)
-		w.store.SetServer(s.Entry())
+		c.store.SetServer(s.Entry())
 	case EntryCorrupt:
-		w.spoilEntry(f)
+		c.corruptEntry(f)
 	case Config:
-		w.configure()
+		c.putNextConfig()
 	case KeyRevoke:
-		w.setBounded(false)
+		c.setLimitedPresent(false)
 		time.Sleep(f.For)
-		w.setBounded(true)
+		c.setLimitedPresent(true)
 	default:
-		s := w.servers[f.Target%len(w.servers)]
+		s := c.servers[f.Target%len(c.servers)]
 		s.SetFault(serverFaults[f.Kind])
 		time.Sleep(f.For)
 		s.SetFault("")
@@ -123,9 +123,9 @@
 	ServerHang: workload.Hang, ServerTruncate: workload.Truncate, ServerDuplicate: workload.Duplicate, ServerShed: workload.Shed,
 }
 
-func (w *Cluster) strikeProcess(f Fault) {
-	p := w.processes[f.Target%len(w.processes)]
-	disk := w.processes[w.plan.Fronts+f.Target%w.plan.Stores]
+func (c *Cluster) injectProcessFault(f Fault) {
+	p := c.processes[f.Target%len(c.processes)]
+	disk := c.processes[c.plan.Fronts+f.Target%c.plan.Stores]
 	switch f.Kind {
 	case Pause:
 		if _, sent := p.signal(syscall.SIGSTOP, false); sent {
@@ -133,24 +133,24 @@
 			p.resume()
 		}
 	case Kill:
-		w.restart(p, syscall.SIGKILL, f.For, nil)
+		c.restart(p, syscall.SIGKILL, f.For, nil)
 	case Term:
-		w.restart(p, syscall.SIGTERM, f.For, nil)
+		c.restart(p, syscall.SIGTERM, f.For, nil)
 	case DiskWipe:
-		w.restart(disk, syscall.SIGKILL, f.For, os.RemoveAll)
+		c.restart(disk, syscall.SIGKILL, f.For, os.RemoveAll)
 	case TornWrite:
-		w.restart(disk, syscall.SIGKILL, f.For, tear)
+		c.restart(disk, syscall.SIGKILL, f.For, appendTornRecord)
 	case KillAll:
 		var all sync.WaitGroup
-		for _, p := range w.processes {
-			all.Go(func() { w.restart(p, syscall.SIGKILL, f.For, nil) })
+		for _, p := range c.processes {
+			all.Go(func() { c.restart(p, syscall.SIGKILL, f.For, nil) })
 		}
 		all.Wait()
 	}
 }
 
-// tear adds to the newest file what a write that was never synced may leave.
-func tear(dir string) error {
+// appendTornRecord adds to the newest file what a write that was never synced may leave.
+func appendTornRecord(dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.turns"))
 	if err != nil || len(files) == 0 {
 		return err
@@ -163,27 +163,27 @@
 	return errors.Join(err, file.Close())
 }
 
-func (w *Cluster) strikeStore(f Fault) {
+func (c *Cluster) injectStoreFault(f Fault) {
 	switch f.Kind {
 	case StoreCompact:
-		w.store.Compact()
+		c.store.Compact()
 		return
 	case StoreDown:
-		w.store.SetFault(func(r http.ResponseWriter) { r.WriteHeader(http.StatusServiceUnavailable) }, false)
+		c.store.SetFault(func(r http.ResponseWriter) { r.WriteHeader(http.StatusServiceUnavailable) }, false)
 	case StoreHang:
-		w.store.SetFault(func(http.ResponseWriter) { time.Sleep(f.For) }, false)
+		c.store.SetFault(func(http.ResponseWriter) { time.Sleep(f.For) }, false)
 	case StoreLost:
-		w.store.SetFault(func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, true)
+		c.store.SetFault(func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, true)
 	}
 	time.Sleep(f.For)
-	w.store.SetFault(nil, false)
+	c.store.SetFault(nil, false)
 }
 
-// strikeLinks harms a daemon's link to the store, that from its callers, and that of one server.
-func (w *Cluster) strikeLinks(f Fault) {
-	m := map[Kind]mode{LinkDelay: delay, LinkReset: reset, LinkOneWay: oneWay, LinkBlackhole: silent}[f.Kind]
-	p := w.processes[f.Target%len(w.processes)]
-	links := []*proxy{p.store, w.servers[f.Target%len(w.servers)].link}
+// injectLinkFaults harms a daemon's link to the store, that from its callers, and that of one server.
+func (c *Cluster) injectLinkFaults(f Fault) {
+	m := map[Kind]mode{LinkDelay: delay, LinkReset: reset, LinkOneWay: oneWay, LinkBlackhole: blackhole}[f.Kind]
+	p := c.processes[f.Target%len(c.processes)]
+	links := []*proxy{p.store, c.servers[f.Target%len(c.servers)].link}
 	if p.callers != nil {
 		links = append(links, p.callers)
 	}
@@ -197,72 +197,72 @@
 }
 
 // replaceServer drains a server; after a while another one answers at its address.
-func (w *Cluster) replaceServer(f Fault) {
-	s := w.servers[f.Target%len(w.servers)]
+func (c *Cluster) replaceServer(f Fault) {
+	s := c.servers[f.Target%len(c.servers)]
 	old := s.Drain()
-	w.store.SetServer(old)
+	c.store.SetServer(old)
 	time.Sleep(f.For)
-	w.store.RemoveServer(old.ID.Server)
-	w.store.SetServer(s.Replace())
+	c.store.RemoveServer(old.ID.Server)
+	c.store.SetServer(s.Replace())
 }
 
-// spoilEntry writes over a server's entry what no server writes, and lets the server write its own again.
-func (w *Cluster) spoilEntry(f Fault) {
-	s := w.servers[f.Target%len(w.servers)]
+// corruptEntry writes over a server's entry what no server writes, and lets the server write its own again.
+func (c *Cluster) corruptEntry(f Fault) {
+	s := c.servers[f.Target%len(c.servers)]
 	entry := s.Entry()
-	odd := platformtest.InvalidEntries(entry)
-	w.store.Set("servers", entry.ID.Server, odd[int(f.At/time.Millisecond)%len(odd)])
+	invalid := platformtest.InvalidEntries(entry)
+	c.store.Set("servers", entry.ID.Server, invalid[int(f.At/time.Millisecond)%len(invalid)])
 	time.Sleep(f.For)
-	w.store.SetServer(s.Entry())
+	c.store.SetServer(s.Entry())
 }
 
 const (
-	// boundedName is an organisation whose callers ask for more than its limit, boundedCallers how many there are.
-	boundedName    = "west"
-	boundedCallers = 3
-	boundedRate    = 20
-	// withdrawal is within which a withdrawn key must be refused everywhere.
-	withdrawal = 5 * time.Second
+	// limitedOrganisation is an organisation whose callers ask for more than its limit, boundedCallers how many there are.
+	limitedOrganisation = "west"
+	limitedCallers      = 3
+	limitedRate         = 20
+	// revocationTime is within which a withdrawn key must be refused everywhere.
+	revocationTime = 5 * time.Second
 	// quotaWindow is the time over which limits are looked at; excess and slack are what may be exceeded there.
 	quotaWindow = 5 * time.Second
 	quotaExcess = 0.1
 	quotaSlack  = 20
 )
 
-// setBounded takes the bounded organisation away, or brings it back.
-func (w *Cluster) setBounded(there bool) {
-	w.mu.Lock()
-	w.withdrawn = !there
-	w.mu.Unlock()
-	w.configure()
+// setLimitedPresent takes the bounded organisation away, or brings it back.
+func (c *Cluster) setLimitedPresent(present bool) {
+	c.mu.Lock()
+	c.revoked = !present
+	c.mu.Unlock()
+	c.putNextConfig()
 	from := time.Time{}
-	if !there {
-		from = time.Now().Add(withdrawal)
+	if !present {
+		from = time.Now().Add(revocationTime)
 	}
-	w.checker.RecordRevocation(boundedName, from)
+	c.checker.RecordRevocation(limitedOrganisation, from)
 }
 
-// checkLimit asks that no window held more of the bounded organisation's requests than is borne.
-func (w *Cluster) checkLimit() {
-	allowed := (boundedRate*quotaWindow.Seconds()+boundedRate)*(1+quotaExcess) + quotaSlack
-	if n := w.checker.MaxRunsWithin(boundedName, quotaWindow); float64(n) > allowed {
-		w.checker.AddViolation("%d requests of %s ran within %v, of %.0f", n, boundedName, quotaWindow, allowed)
+// checkRateLimit asks that no window held more of the bounded organisation's requests than is borne.
+func (c *Cluster) checkRateLimit() {
+	allowed := (limitedRate*quotaWindow.Seconds()+limitedRate)*(1+quotaExcess) + quotaSlack
+	if n := c.checker.MaxRunsWithin(limitedOrganisation, quotaWindow); float64(n) > allowed {
+		c.checker.AddViolation("%d requests of %s ran within %v, of %.0f", n, limitedOrganisation, quotaWindow, allowed)
 	}
 }
 
-// heal waits until every fault has been undone and every process runs.
-func (w *Cluster) heal() {
-	w.wg.Wait()
-	for _, s := range w.servers {
+// awaitFaultsUndone waits until every fault has been undone and every process runs.
+func (c *Cluster) awaitFaultsUndone() {
+	c.wg.Wait()
+	for _, s := range c.servers {
 		s.link.set(pass)
 	}
-	if err := w.awaitReady(); err != nil {
-		w.checker.AddViolation("after the faults: %v", err)
+	if err := c.awaitReady(); err != nil {
+		c.checker.AddViolation("after the faults: %v", err)
 	}
 }
 
 // checkRecovery asks that every caller's last program goes on, and a new one runs whole.
-func (w *Cluster) checkRecovery(callers []*workload.Caller) {
+func (c *Cluster) checkRecovery(callers []*workload.Caller) {
 	var wg sync.WaitGroup
 	for _, c := range callers {
 		wg.Go(c.CheckRecovery)
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -15,7 +15,7 @@
 func TestShortRun(t *testing.T) {
 	size := SmallSize
 	size.Length = 5 * time.Second
-	playWhole(t, GeneratePlan(7, size), 31)
+	runPlan(t, GeneratePlan(7, size), 31)
 }
 
 // TestPausedProcessIsStopped: seeds 5015 and 5117 asked a paused daemon to stop and never let it go on, so it outlived its
@@ -24,11 +24,11 @@
 	plan, err := ParsePlan([]byte(`{"seed":5117,"fronts":2,"stores":3,"servers":4,"callers":4,"length":4000000000,"faults":[
 		{"kind":"pause","at":500000000,"for":2000000000,"target":1},{"kind":"term","at":1200000000,"for":300000000,"target":1}]}`))
 	assert.NilError(t, err)
-	playWhole(t, plan, 32)
+	runPlan(t, plan, 32)
 }
 
-// playWhole plays a plan on real daemons, and asks that no promise breaks.
-func playWhole(t *testing.T, plan Plan, network int) {
+// runPlan plays a plan on real daemons, and asks that no promise breaks.
+func runPlan(t *testing.T, plan Plan, network int) {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "rookpass-node")
 	out, err := exec.Command("go", "build", "-o", binary, "github.com/rookpass/rookpass/cmd/rookpass-node").CombinedOutput()
@@ -62,7 +62,7 @@
 		for _, f := range GeneratePlan(seed, size).Faults {
 			if f.Kind == DiskWipe || f.Kind == TornWrite {
 				assert.Assert(t, f.At >= free, "seed %d loses two disks at %v", seed, f.At)
-				free = f.At + f.For + diskRest
+				free = f.At + f.For + diskRecoveryTime
 			}
 		}
 	}
