--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	// host is the name that callers ask for.
-	host = "agents.example"
-	// mostTokens is the most that a turn generates.
-	mostTokens = tokensPerEvent * eventsPerTurn
+	// requestHost is the name that callers ask for.
+	requestHost = "agents.example"
+	// maxTurnTokens is the most that a turn generates.
+	maxTurnTokens = tokensPerEvent * eventsPerTurn
 	// turnsPerProgram bounds a program; every fourth has a budget for fewer.
-	turnsPerProgram = 6
-	scarceTurns     = 3
-	callDeadline    = 4 * time.Second
-	// retryTime is how long a turn is tried again before its program is given up, in a run under faults.
-	retryTime = 6 * time.Second
+	turnsPerProgram  = 6
+	smallBudgetTurns = 3
+	callDeadline     = 4 * time.Second
+	// retryTimeout is how long a turn is tried again before its program is given up, in a run under faults.
+	retryTimeout = 6 * time.Second
 	// retryPause is the time between two tries of a turn.
 	retryPause = 150 * time.Millisecond
-	// recoveryTime is how soon after the last fault everything must be served again.
-	recoveryTime = 12 * time.Second
+	// recoveryTimeout is how soon after the last fault everything must be served again.
+	recoveryTimeout = 12 * time.Second
 )
 
-// notRun are the statuses that promise that a request has not run and never will.
-var notRun = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusPaymentRequired}
+// notRunStatuses are the statuses that promise that a request has not run and never will.
+var notRunStatuses = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusPaymentRequired}
 
-// ids gives requests and programs names of their own.
-var ids atomic.Int64
+// lastID gives requests and programs names of their own.
+var lastID atomic.Int64
 
 // Caller runs programs, one after the other.
 type Caller struct {
@@ -49,15 +49,15 @@
 	organisation string
 	mu           sync.Mutex
 	random       *rand.Rand
-	// last is the newest line of turns that is whole so far: its turns must be there after the faults.
-	last line
+	// lastBranch is the newest line of turns that is whole so far: its turns must be there after the faults.
+	lastBranch branch
 }
 
-// line is a program's line of turns.
-type line struct {
+// branch is a program's branch of turns.
+type branch struct {
 	program, previous, history string
 	turns                      int
-	scarce                     bool
+	smallBudget                bool
 }
 
 // NewCaller returns a caller of some fronts, by their addresses. dial is nil for the network of this machine.
@@ -102,15 +102,15 @@
 		}
 		switch work {
 		case Programs:
-			c.program()
+			c.runPrograms()
 		case ResumablePrograms:
-			c.questions()
+			c.runResumable()
 		case ForkedTurns, ForkedBudgets:
-			c.fork(work == ForkedBudgets)
+			c.runFork(work == ForkedBudgets)
 		case AtMostOnceCalls:
-			c.toolOrPause("/tool/", false)
+			c.callTool("/tool/", false)
 		case IdempotentCalls:
-			c.toolOrPause("/lookup/", true)
+			c.callTool("/lookup/", true)
 		}
 	}
 }
@@ -118,79 +118,79 @@
 // Close ends the caller's connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
-func (c *Caller) program() {
-	n := ids.Add(1)
-	l := line{program: fmt.Sprintf("p%d", n), scarce: n%4 == 0}
+func (c *Caller) runPrograms() {
+	n := lastID.Add(1)
+	l := branch{program: fmt.Sprintf("p%d", n), smallBudget: n%4 == 0}
 	for l.turns < turnsPerProgram {
-		if !c.turnWithin(&l, retryTime) {
+		if !c.retryTurn(&l, retryTimeout) {
 			return
 		}
-		c.last = l
-		c.tool("/tool/", false)
-		c.tool("/lookup/", true)
+		c.lastBranch = l
+		c.sendToolCall("/tool/", false)
+		c.sendToolCall("/lookup/", true)
 	}
 }
 
-// fork runs one turn and then two lines that go on from it, side by side.
-func (c *Caller) fork(scarce bool) {
-	first := line{program: fmt.Sprintf("p%d", ids.Add(1)), scarce: scarce}
-	if !c.turnWithin(&first, retryTime) {
+// runFork runs one turn and then two lines that go on from it, side by side.
+func (c *Caller) runFork(smallBudget bool) {
+	first := branch{program: fmt.Sprintf("p%d", lastID.Add(1)), smallBudget: smallBudget}
+	if !c.retryTurn(&first, retryTimeout) {
 		return
 	}
-	lines := [2]line{first, first}
+	branches := [2]branch{first, first}
 	var wg sync.WaitGroup
-	for i := range lines {
+	for i := range branches {
 		wg.Go(func() {
-			for lines[i].turns < turnsPerProgram && c.turnWithin(&lines[i], retryTime) {
+			for branches[i].turns < turnsPerProgram && c.retryTurn(&branches[i], retryTimeout) {
 			}
 		})
 	}
 	wg.Wait()
-	c.last = lines[0]
+	c.lastBranch = branches[0]
 }
 
 // CheckRecovery asks that the caller's last line goes on, and a new program begins.
 func (c *Caller) CheckRecovery() {
-	fresh := line{program: fmt.Sprintf("p%d", ids.Add(1))}
-	if !c.turnWithin(&fresh, recoveryTime) {
-		c.checker.AddViolation("after the faults no new program was served within %v", recoveryTime)
+	newBranch := branch{program: fmt.Sprintf("p%d", lastID.Add(1))}
+	if !c.retryTurn(&newBranch, recoveryTimeout) {
+		c.checker.AddViolation("after the faults no new program was served within %v", recoveryTimeout)
 	}
-	if c.last.previous == "" || c.last.scarce {
+	if c.lastBranch.previous == "" || c.lastBranch.smallBudget {
 		return
 	}
-	if !c.turnWithin(&c.last, recoveryTime) {
-		c.checker.AddViolation("after the faults program %s could not go on from %s", c.last.program, c.last.previous)
+	if !c.retryTurn(&c.lastBranch, recoveryTimeout) {
+		c.checker.AddViolation("after the faults program %s could not go on from %s", c.lastBranch.program, c.lastBranch.previous)
 	}
 }
 
 // HasConfigVersion asks a front for the route that came with a version, and reports whether it is in force there; false
 // too where the front does not answer. life names the front's present life.
-func (c *Caller) HasConfigVersion(front, life string, version int64) bool {
-	id := fmt.Sprintf("v%d", ids.Add(1))
+func (c *Caller) HasConfigVersion(front, instance string, version int64) bool {
+	id := fmt.Sprintf("v%d", lastID.Add(1))
 	c.checker.RecordSent(id, "", true)
 	status, _, _, err := c.sendTo(front, fmt.Sprintf("/new%d/", version), platformtest.Call{ID: id, Deadline: callDeadline}, "")
 	if err != nil || status != http.StatusOK && status != http.StatusNotFound {
 		return false
 	}
-	c.checker.RecordConfigVersion(life, version, status == http.StatusOK)
+	c.checker.RecordConfigVersion(instance, version, status == http.StatusOK)
 	return status == http.StatusOK
 }
 
 // SendLookup sends one lookup to a front and returns how it was answered; 0 where it broke off.
 func (c *Caller) SendLookup(front string) int {
-	id := fmt.Sprintf("a%d", ids.Add(1))
+	id := fmt.Sprintf("a%d", lastID.Add(1))
 	c.checker.RecordSent(id, "", true)
 	status, _, _, err := c.sendTo(front, "/lookup/", platformtest.Call{ID: id, Deadline: callDeadline}, "")
 	if err != nil {
 		return 0
 	}
-	return c.failed(id, status, nil)
+	return c.recordStatus(id, status, nil)
 }
 
-// turnWithin tries a turn until it is whole, and reports whether it was in time.
-func (c *Caller) turnWithin(l *line, limit time.Duration) bool {
-	for began := time.Now(); time.Since(began) < limit; {
-		switch c.turn(l) {
+// retryTurn tries a turn until it is whole, and reports whether it was in time.
+func (c *Caller) retryTurn(b *branch, timeout time.Duration) bool {
+	for start := time.Now(); time.Since(start) < timeout; {
+		switch c.sendTurn(b) {
 		case http.StatusOK:
 			return true
 		case http.StatusPaymentRequired, http.StatusNotFound:
@@ -201,28 +201,28 @@
 	return false
 }
 
-// budgetOf returns a program's token budget.
-func budgetOf(scarce bool) int64 {
-	if scarce {
-		return scarceTurns * mostTokens
+// tokenBudget returns a program's token budget.
+func tokenBudget(smallBudget bool) int64 {
+	if smallBudget {
+		return smallBudgetTurns * maxTurnTokens
 	}
-	return 100 * mostTokens
+	return 100 * maxTurnTokens
 }
 
-// turn sends the line's next turn once, and returns how it was answered; 0 where it broke off.
-func (c *Caller) turn(l *line) int {
-	budget := budgetOf(l.scarce)
-	id := fmt.Sprintf("t%d", ids.Add(1))
-	input := fmt.Sprintf("[%s turn %d]", l.program, l.turns)
-	c.checker.RecordSent(id, l.history+input, false)
-	call := platformtest.Call{ID: id, Program: l.program, Previous: l.previous, Deadline: callDeadline, Budget: budget, MaxOutputTokens: mostTokens}
+// sendTurn sends the line's next sendTurn once, and returns how it was answered; 0 where it broke off.
+func (c *Caller) sendTurn(b *branch) int {
+	budget := tokenBudget(b.smallBudget)
+	id := fmt.Sprintf("t%d", lastID.Add(1))
+	input := fmt.Sprintf("[%s turn %d]", b.program, b.turns)
+	c.checker.RecordSent(id, b.history+input, false)
+	call := platformtest.Call{ID: id, Program: b.program, Previous: b.previous, Deadline: callDeadline, Budget: budget, MaxOutputTokens: maxTurnTokens}
 	status, header, body, err := c.send("/turn/", call, input)
-	c.checker.RecordTokens(l.program, tokensPerEvent*int64(strings.Count(string(body), "data: ")), budget+mostTokens)
+	c.checker.RecordTokens(b.program, tokensPerEvent*int64(strings.Count(string(body), "data: ")), budget+maxTurnTokens)
 	if status == http.StatusNotFound {
-		c.checker.AddViolation("turn %s was answered 404 though %q is kept", id, l.previous)
+		c.checker.AddViolation("turn %s was answered 404 though %q is kept", id, b.previous)
 	}
 	if status != http.StatusOK || err != nil {
-		return c.failed(id, status, err)
+		return c.recordStatus(id, status, err)
 	}
 	var output string
 	for n := 1; n <= eventsPerTurn; n++ {
@@ -232,25 +232,25 @@
 		c.checker.AddViolation("turn %s was answered whole with %.120q", id, body)
 	}
 	c.checker.RecordOutcome("turn whole")
-	l.previous, l.history = id, l.history+input+output
-	l.turns++
+	b.previous, b.history = id, b.history+input+output
+	b.turns++
 	return http.StatusOK
 }
 
-// toolOrPause sends one call of a tool, and waits before the next where it failed.
-func (c *Caller) toolOrPause(path string, repeatable bool) {
-	if !c.tool(path, repeatable) {
+// callTool sends one call of a tool, and waits before the next where it failed.
+func (c *Caller) callTool(path string, idempotent bool) {
+	if !c.sendToolCall(path, idempotent) {
 		time.Sleep(retryPause)
 	}
 }
 
-// tool sends one call of a tool, and reports whether it was whole.
-func (c *Caller) tool(path string, repeatable bool) bool {
-	id := fmt.Sprintf("c%d", ids.Add(1))
-	c.checker.RecordSent(id, "args of "+id, repeatable)
+// sendToolCall sends one call of a sendToolCall, and reports whether it was whole.
+func (c *Caller) sendToolCall(path string, idempotent bool) bool {
+	id := fmt.Sprintf("c%d", lastID.Add(1))
+	c.checker.RecordSent(id, "args of "+id, idempotent)
 	status, header, body, err := c.send(path, platformtest.Call{ID: id, Deadline: callDeadline}, "args of "+id)
 	if status != http.StatusOK || err != nil {
-		c.failed(id, status, err)
+		c.recordStatus(id, status, err)
 		return false
 	}
 	if string(body) != toolAnswer(id) || !platformtest.Signed(header, id) {
@@ -260,13 +260,13 @@
 	return true
 }
 
-func (c *Caller) failed(id string, status int, err error) int {
+func (c *Caller) recordStatus(id string, status int, err error) int {
 	if err != nil {
 		c.checker.RecordOutcome("broken off")
 		return 0
 	}
 	c.checker.RecordOutcome(fmt.Sprint("status ", status))
-	if slices.Contains(notRun, status) {
+	if slices.Contains(notRunStatuses, status) {
 		c.checker.RecordRefusal(id, status)
 	}
 	return status
@@ -286,7 +286,7 @@
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	r.Host = host
+	r.Host = requestHost
 	call.Key = keyOf(c.organisation)
 	c.checker.RecordSender(call.ID, c.organisation)
 	r.Header = call.Header()
--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -9,58 +9,58 @@
 
 // Checker holds the promises against what callers and servers see.
 type Checker struct {
-	mu       sync.Mutex
-	expected map[string]string
-	runs     map[string]int
-	repeat   map[string]bool
-	// senders are the organisations of requests, sentAt when those were sent.
-	senders map[string]string
-	sentAt  map[string]time.Time
-	// withdrawn is from when on an organisation's requests may not run that are sent later; served are the runs of its
+	mu             sync.Mutex
+	expectedBodies map[string]string
+	runCounts      map[string]int
+	idempotent     map[string]bool
+	// organisations are the organisations of requests, sentAt when those were sent.
+	organisations map[string]string
+	sentAt        map[string]time.Time
+	// revokedFrom is from when on an organisation's requests may not run that are sent later; served are the runs of its
 	// requests.
-	withdrawn map[string]time.Time
-	served    map[string][]run
-	refused   map[string]int
-	handed    map[string]int64
-	leaving   map[string]time.Time
-	arrivals  map[string]int
-	excused   time.Time
-	seen      map[string]int64
-	broken    []string
-	// counts are how requests ended, by what callers saw.
-	counts map[string]int
+	revokedFrom        map[string]time.Time
+	runsByOrganisation map[string][]run
+	refusals           map[string]int
+	tokens             map[string]int64
+	drainingSince      map[string]time.Time
+	arrivals           map[string]int
+	lateAllowedUntil   time.Time
+	newestVersions     map[string]int64
+	violations         []string
+	// outcomes are how requests ended, by what callers saw.
+	outcomes map[string]int
 }
 
 // NewChecker returns a checker that has seen nothing.
 func NewChecker() *Checker {
-	return &Checker{expected: map[string]string{}, runs: map[string]int{}, repeat: map[string]bool{}, senders: map[string]string{}, sentAt: map[string]time.Time{}, withdrawn: map[string]time.Time{}, served: map[string][]run{}, refused: map[string]int{},
-		handed: map[string]int64{}, leaving: map[string]time.Time{}, arrivals: map[string]int{}, seen: map[string]int64{}, counts: map[string]int{}}
+	return &Checker{expectedBodies: map[string]string{}, runCounts: map[string]int{}, idempotent: map[string]bool{}, organisations: map[string]string{}, sentAt: map[string]time.Time{}, revokedFrom: map[string]time.Time{}, runsByOrganisation: map[string][]run{}, refusals: map[string]int{},
+		tokens: map[string]int64{}, drainingSince: map[string]time.Time{}, arrivals: map[string]int{}, newestVersions: map[string]int64{}, outcomes: map[string]int{}}
 }
 
 // AddViolation notes a broken promise.
 func (c *Checker) AddViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fail(format, args...)
+	c.addViolation(format, args...)
 }
 
-func (c *Checker) fail(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (c *Checker) addViolation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 // RecordSent notes a request: what a server must get, and whether it may run twice.
-func (c *Checker) RecordSent(id, body string, repeatable bool) {
+func (c *Checker) RecordSent(id, body string, idempotent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.expected[id] = body
-	c.repeat[id] = repeatable
+	c.expectedBodies[id] = body
+	c.idempotent[id] = idempotent
 }
 
 // RecordSender notes whose a request is.
 func (c *Checker) RecordSender(id, organisation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.senders[id] = organisation
+	c.organisations[id] = organisation
 	c.sentAt[id] = time.Now()
 }
 
@@ -68,7 +68,7 @@
 func (c *Checker) RecordRevocation(organisation string, from time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.withdrawn[organisation] = from
+	c.revokedFrom[organisation] = from
 }
 
 // run is one running of a request.
@@ -78,7 +78,7 @@
 func (c *Checker) MaxRunsWithin(organisation string, window time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	runs := c.served[organisation]
+	runs := c.runsByOrganisation[organisation]
 	most := 0
 	for _, first := range runs {
 		n := 0
@@ -96,24 +96,24 @@
 func (c *Checker) Runs(organisation string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.served[organisation])
+	return len(c.runsByOrganisation[organisation])
 }
 
 // RecordIdentity notes what a server was told of a request's organisation, and whether its caller's key came along.
 func (c *Checker) RecordIdentity(id, organisation string, key bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	want := c.senders[id]
+	want := c.organisations[id]
 	if organisation != want {
-		c.fail("%s of %q came to a server as one of %q", id, want, organisation)
+		c.addViolation("%s of %q came to a server as one of %q", id, want, organisation)
 	}
 	now, sent := time.Now(), c.sentAt[id]
-	c.served[want] = append(c.served[want], run{sent, now})
-	if from := c.withdrawn[want]; !from.IsZero() && sent.After(from) {
-		c.fail("%s of %q ran, sent %v after it had to be refused", id, want, sent.Sub(from))
+	c.runsByOrganisation[want] = append(c.runsByOrganisation[want], run{sent, now})
+	if from := c.revokedFrom[want]; !from.IsZero() && sent.After(from) {
+		c.addViolation("%s of %q ran, sent %v after it had to be refused", id, want, sent.Sub(from))
 	}
 	if key {
-		c.fail("%s came to a server with its caller's key", id)
+		c.addViolation("%s came to a server with its caller's key", id)
 	}
 }
 
@@ -121,20 +121,20 @@
 func (c *Checker) RecordRun(id, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	want, known := c.expected[id]
+	want, known := c.expectedBodies[id]
 	if !known {
-		c.fail("a server ran %q, which nobody sent", id)
+		c.addViolation("a server ran %q, which nobody sent", id)
 		return
 	}
 	if body != want {
-		c.fail("a server ran %s with %d bytes %.80q, not %d bytes %.80q", id, len(body), body, len(want), want)
+		c.addViolation("a server ran %s with %d bytes %.80q, not %d bytes %.80q", id, len(body), body, len(want), want)
 	}
-	c.runs[id]++
-	if c.runs[id] > 1 && !c.repeat[id] {
-		c.fail("%s must run once and ran %d times", id, c.runs[id])
+	c.runCounts[id]++
+	if c.runCounts[id] > 1 && !c.idempotent[id] {
+		c.addViolation("%s must run once and ran %d times", id, c.runCounts[id])
 	}
-	if status := c.refused[id]; status != 0 {
-		c.fail("%s was answered %d and ran later", id, status)
+	if status := c.refusals[id]; status != 0 {
+		c.addViolation("%s was answered %d and ran later", id, status)
 	}
 }
 
@@ -142,9 +142,9 @@
 func (c *Checker) RecordRefusal(id string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refused[id] = status
-	if c.runs[id] > 0 && !c.repeat[id] {
-		c.fail("%s ran and was answered %d", id, status)
+	c.refusals[id] = status
+	if c.runCounts[id] > 0 && !c.idempotent[id] {
+		c.addViolation("%s ran and was answered %d", id, status)
 	}
 }
 
@@ -152,9 +152,9 @@
 func (c *Checker) RecordTokens(program string, tokens, limit int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handed[program] += tokens
-	if c.handed[program] > limit {
-		c.fail("program %s handed out %d tokens of %d", program, c.handed[program], limit)
+	c.tokens[program] += tokens
+	if c.tokens[program] > limit {
+		c.addViolation("program %s handed out %d tokens of %d", program, c.tokens[program], limit)
 	}
 }
 
@@ -165,21 +165,21 @@
 func (c *Checker) RecordDraining(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving[server] = time.Now()
+	c.drainingSince[server] = time.Now()
 }
 
 // RecordReturned notes that a server may get requests again.
 func (c *Checker) RecordReturned(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.leaving, server)
+	delete(c.drainingSince, server)
 }
 
 // AllowLateArrivals lets requests reach leaving servers until a time: a paused daemon's last ones arrive when it wakes.
 func (c *Checker) AllowLateArrivals(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.excused = until
+	c.lateAllowedUntil = until
 }
 
 // RecordArrival notes that a request has reached a server.
@@ -188,9 +188,9 @@
 	defer c.mu.Unlock()
 	c.arrivals[server]++
 	now := time.Now()
-	at, leaving := c.leaving[server]
-	if leaving && now.Sub(at) > drainTime && now.After(c.excused) {
-		c.fail("%s reached server %s %v after it had said that it leaves", id, server, now.Sub(at))
+	at, leaving := c.drainingSince[server]
+	if leaving && now.Sub(at) > drainTime && now.After(c.lateAllowedUntil) {
+		c.addViolation("%s reached server %s %v after it had said that it leaves", id, server, now.Sub(at))
 	}
 }
 
@@ -206,9 +206,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known {
-		c.seen[front] = max(c.seen[front], version)
-	} else if version <= c.seen[front] {
-		c.fail("%s went back: it knows no route of version %d after it has served one of %d", front, version, c.seen[front])
+		c.newestVersions[front] = max(c.newestVersions[front], version)
+	} else if version <= c.newestVersions[front] {
+		c.addViolation("%s went back: it knows no route of version %d after it has served one of %d", front, version, c.newestVersions[front])
 	}
 }
 
@@ -216,19 +216,19 @@
 func (c *Checker) RecordOutcome(outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts[outcome]++
+	c.outcomes[outcome]++
 }
 
 // Counts returns how many requests ended how, by what callers saw.
 func (c *Checker) Counts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.counts)
+	return maps.Clone(c.outcomes)
 }
 
 // Violations returns the broken promises.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.broken...)
+	return append([]string(nil), c.violations...)
 }
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -12,7 +12,7 @@
 // TestCheckerCatches: each promise, broken, is noticed.
 func TestCheckerCatches(t *testing.T) {
 	for name, c := range map[string]struct {
-		course func(*Checker)
+		events func(*Checker)
 		want   string
 	}{
 		"nothing wrong": {func(c *Checker) {
@@ -39,7 +39,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			checker := NewChecker()
-			c.course(checker)
+			c.events(checker)
 			broken := strings.Join(checker.Violations(), "; ")
 			assert.Equal(t, broken == "", c.want == "", "%s: %s", name, broken)
 			assert.Assert(t, strings.Contains(broken, c.want), "%s: %s", name, broken)
--- a/internal/testing/workload/config.go
+++ b/internal/testing/workload/config.go
@@ -23,16 +23,16 @@
 	return platformtest.Organisation{Name: name, Keys: []string{keyOf(name)}, PerS: perSecond, Burst: perSecond}
 }
 
-// keyMark is in every key, so that a key can be found wherever it does not belong.
-const keyMark = "key-of-"
+// keyPrefix is in every key, so that a key can be found wherever it does not belong.
+const keyPrefix = "key-of-"
 
-func keyOf(organisation string) string { return keyMark + organisation }
+func keyOf(organisation string) string { return keyPrefix + organisation }
 
 // Config returns a version of the configuration: the routes that callers ask for, and one more for each version
 // before this one and for itself.
 func Config(version int64) catalog.Config {
 	route := func(name string, kind catalog.Kind, service string) catalog.Route {
-		return catalog.Route{Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Timeout: callDeadline, MaxAttempts: 3,
+		return catalog.Route{Name: name, Host: requestHost, Prefix: "/" + name + "/", Kind: kind, Timeout: callDeadline, MaxAttempts: 3,
 			Targets: []catalog.Target{{Service: service, Weight: 1}}}
 	}
 	c := catalog.Config{Version: version, Limits: catalog.Limits{MaxBodyBytes: 1 << 20, IdleTimeout: 15 * time.Second}}
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -25,9 +25,9 @@
 	// tokensPerEvent is what one event of the model's stream stands for, eventsPerTurn how many a turn has.
 	tokensPerEvent = 3
 	eventsPerTurn  = 4
-	// eventPause is the time between two events, toolTime what a tool takes.
-	eventPause = 15 * time.Millisecond
-	toolTime   = 20 * time.Millisecond
+	// eventInterval is the time between two events, toolTime what a tool takes.
+	eventInterval = 15 * time.Millisecond
+	toolDelay     = 20 * time.Millisecond
 )
 
 // Fault is how a server spoils its answers; the zero value is none.
@@ -47,27 +47,27 @@
 
 // Server is a backend server of the model or the tool service. It implements http.Handler.
 type Server struct {
-	place   int
+	index   int
 	checker *Checker
 	fault   atomic.Value // Fault
 
-	mu    sync.Mutex
-	entry catalog.Server
-	lives int
-	// over is closed when the present start ends.
-	over chan struct{}
+	mu        sync.Mutex
+	entry     catalog.Server
+	instances int
+	// ended is closed when the present start ends.
+	ended chan struct{}
 }
 
 // NewServer returns the server at a place, whose number picks its service and data centre. address is where
 // daemons reach it.
-func NewServer(place int, address string, checker *Checker) *Server {
+func NewServer(index int, address string, checker *Checker) *Server {
 	service := modelService
-	if place%2 == 1 {
+	if index%2 == 1 {
 		service = toolService
 	}
-	s := &Server{place: place, checker: checker, over: make(chan struct{})}
+	s := &Server{index: index, checker: checker, ended: make(chan struct{})}
 	s.SetFault("")
-	s.entry = catalog.Server{Service: service, Address: address, DataCentre: fmt.Sprint("dc", place%3), Slots: 32}
+	s.entry = catalog.Server{Service: service, Address: address, DataCentre: fmt.Sprint("dc", index%3), Slots: 32}
 	s.Replace()
 	return s
 }
@@ -79,8 +79,8 @@
 func (s *Server) Replace() catalog.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lives++
-	s.entry.ID = incarnation.ID{Server: fmt.Sprintf("i-%d-%d", s.place, s.lives), Born: time.Now().UnixMilli()}
+	s.instances++
+	s.entry.ID = incarnation.ID{Server: fmt.Sprintf("i-%d-%d", s.index, s.instances), Born: time.Now().UnixMilli()}
 	s.entry.Draining = false
 	return s.entry
 }
@@ -90,8 +90,8 @@
 func (s *Server) Restart() catalog.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.over)
-	s.over = make(chan struct{})
+	close(s.ended)
+	s.ended = make(chan struct{})
 	s.entry.ID.Born = max(s.entry.ID.Born+1, time.Now().UnixMilli())
 	return s.entry
 }
@@ -103,14 +103,14 @@
 func (s *Server) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return context.WithValue(ctx, startKey{}, s.over)
+	return context.WithValue(ctx, startKey{}, s.ended)
 }
 
-// silentIfOver says nothing more on a connection to a start that has ended.
-func silentIfOver(r *http.Request) {
-	over, _ := r.Context().Value(startKey{}).(chan struct{}) // none without ConnContext
+// blockIfEnded says nothing more on a connection to a start that has ended.
+func blockIfEnded(r *http.Request) {
+	ended, _ := r.Context().Value(startKey{}).(chan struct{}) // none without ConnContext
 	select {
-	case <-over:
+	case <-ended:
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	default:
@@ -140,7 +140,7 @@
 	if err != nil {
 		return
 	}
-	silentIfOver(r)
+	blockIfEnded(r)
 	fault := s.fault.Load().(Fault)
 	entry := s.Entry()
 	w.Header().Set("X-Content-Type-Options", "nosniff")
@@ -156,7 +156,7 @@
 		return
 	}
 	s.checker.RecordArrival(entry.ID.Server, id)
-	s.checker.RecordIdentity(id, platformtest.ForwardedOrganisation(r.Header), holdsKey(r.Header))
+	s.checker.RecordIdentity(id, platformtest.ForwardedOrganisation(r.Header), containsKey(r.Header))
 	s.checker.RecordRun(id, string(body))
 	if fault == Hang {
 		<-r.Context().Done()
@@ -164,28 +164,28 @@
 	}
 	platformtest.Sign(w.Header(), id)
 	if entry.Service == modelService {
-		s.stream(w, r, streamKey(r, id, string(body)), fault)
+		s.writeStream(w, r, answerKey(r, id, string(body)), fault)
 		return
 	}
-	time.Sleep(toolTime)
-	silentIfOver(r)
-	tool(w, id, fault)
+	time.Sleep(toolDelay)
+	blockIfEnded(r)
+	writeToolAnswer(w, id, fault)
 }
 
-// holdsKey tells whether a caller's key is anywhere in the headers.
-func holdsKey(h http.Header) bool {
+// containsKey tells whether a caller's key is anywhere in the headers.
+func containsKey(h http.Header) bool {
 	for _, values := range h {
-		if strings.Contains(strings.Join(values, "\n"), keyMark) {
+		if strings.Contains(strings.Join(values, "\n"), keyPrefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// streamKey returns what the events of an answer depend on: an answer that may be resumed is the same under every
+// answerKey returns what the events of an answer depend on: an answer that may be resumed is the same under every
 // id that its caller asks again with.
-func streamKey(r *http.Request, id, body string) string {
-	if strings.HasPrefix(r.URL.Path, questionPath) {
+func answerKey(r *http.Request, id, body string) string {
+	if strings.HasPrefix(r.URL.Path, resumablePath) {
 		return body
 	}
 	return id
@@ -203,10 +203,10 @@
 	return text.String()
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, key string, fault Fault) {
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, key string, fault Fault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := platformtest.LastEvent(r.Header) + 1; n <= eventsPerTurn; n++ {
-		silentIfOver(r)
+		blockIfEnded(r)
 		_, _ = io.WriteString(w, eventText(key, n, n)) // the caller may have left
 		w.(http.Flusher).Flush()
 		if fault == Truncate && n == eventsPerTurn/2 {
@@ -215,7 +215,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		select {
-		case <-time.After(eventPause):
+		case <-time.After(eventInterval):
 		case <-r.Context().Done():
 			panic(http.ErrAbortHandler) // to return would end the answer as if it were whole
 		}
@@ -225,7 +225,7 @@
 // toolAnswer is the body of a tool's answer.
 func toolAnswer(id string) string { return "done " + id + strings.Repeat(".", 200) }
 
-func tool(w http.ResponseWriter, id string, fault Fault) {
+func writeToolAnswer(w http.ResponseWriter, id string, fault Fault) {
 	body := toolAnswer(id)
 	switch fault {
 	case Truncate:
