--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -171,8 +171,8 @@
 // generate adds a completion's events as time passes.
 func (e *Engine) generate(request backend.CompletionRequest, s *stream) {
 	usage := backend.Usage{
-		PromptTokens: tokens(len(request.Prompt)),
-		CachedTokens: e.cached(request),
+		PromptTokens: tokenCount(len(request.Prompt)),
+		CachedTokens: e.cachedTokens(request),
 	}
 	count := request.MaxTokens
 	if e.options.AnswerTokens > 0 {
@@ -204,10 +204,10 @@
 	return text.Bytes()
 }
 
-func tokens(size int) int64 { return int64((size + bytesPerToken - 1) / bytesPerToken) }
+func tokenCount(size int) int64 { return int64((size + bytesPerToken - 1) / bytesPerToken) }
 
-// cached returns how much of a prompt the engine holds.
-func (e *Engine) cached(request backend.CompletionRequest) int64 {
+// cachedTokens returns how much of a prompt the engine holds.
+func (e *Engine) cachedTokens(request backend.CompletionRequest) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := e.holds[request.HoldTag]
@@ -252,7 +252,7 @@
 		ctx.SetStatusCode(http.StatusNotFound)
 		return
 	}
-	e.send(ctx, s, int(number(ctx, "from")), faults)
+	e.send(ctx, s, int(queryNumber(ctx, "from")), faults)
 }
 
 // send streams a completion's events from an index as server-sent events.
@@ -260,10 +260,10 @@
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		if faults.Hang {
-			<-s.hung()
+			<-s.hangTimeout()
 		}
 		for sent := int64(0); ; {
-			events, done, changed := e.after(s, from)
+			events, done, changed := e.eventsFrom(s, from)
 			for _, event := range events {
 				if faults.CutAfter > 0 && sent >= faults.CutAfter {
 					return
@@ -282,14 +282,14 @@
 	})
 }
 
-// hung returns a channel that is closed after the longest time that any client waits.
-func (s *stream) hung() <-chan struct{} {
-	hung := make(chan struct{})
-	time.AfterFunc(time.Hour, func() { close(hung) })
-	return hung
+// hangTimeout returns a channel that is closed after the longest time that any client waits.
+func (s *stream) hangTimeout() <-chan struct{} {
+	expired := make(chan struct{})
+	time.AfterFunc(time.Hour, func() { close(expired) })
+	return expired
 }
 
-func (e *Engine) after(s *stream, from int) ([]backend.CompletionEvent, bool, <-chan struct{}) {
+func (e *Engine) eventsFrom(s *stream, from int) ([]backend.CompletionEvent, bool, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return s.events[min(from, len(s.events)):], s.done, s.changed
@@ -316,7 +316,7 @@
 	e.mu.Lock()
 	holds := []backend.Hold{}
 	for tag, prompt := range e.holds {
-		holds = append(holds, backend.Hold{Tag: tag, Tokens: tokens(len(prompt))})
+		holds = append(holds, backend.Hold{Tag: tag, Tokens: tokenCount(len(prompt))})
 	}
 	e.mu.Unlock()
 	respond(ctx, holds, nil)
--- a/internal/testing/standin/objectapi.go
+++ b/internal/testing/standin/objectapi.go
@@ -37,18 +37,18 @@
 }
 
 func (s *objectServer) get(ctx *fasthttp.RequestCtx) {
-	object, err := s.api.Get(context.Background(), keyOf(ctx))
+	object, err := s.api.Get(context.Background(), objectKey(ctx))
 	respond(ctx, object, err)
 }
 
 func (s *objectServer) put(ctx *fasthttp.RequestCtx) {
-	object, err := s.api.Put(context.Background(), keyOf(ctx), ctx.PostBody(), number(ctx, "version"))
+	object, err := s.api.Put(context.Background(), objectKey(ctx), ctx.PostBody(), queryNumber(ctx, "version"))
 	object.Value = nil
 	respond(ctx, object, err)
 }
 
 func (s *objectServer) delete(ctx *fasthttp.RequestCtx) {
-	version, err := s.api.Delete(context.Background(), keyOf(ctx), number(ctx, "version"))
+	version, err := s.api.Delete(context.Background(), objectKey(ctx), queryNumber(ctx, "version"))
 	respond(ctx, objectapi.Object{Version: version}, err)
 }
 
@@ -57,17 +57,17 @@
 	for _, prefix := range ctx.QueryArgs().PeekMulti("prefix") {
 		prefixes = append(prefixes, string(prefix))
 	}
-	wait := time.Duration(number(ctx, "wait_ms")) * time.Millisecond
-	batch, err := s.api.Wait(context.Background(), prefixes, number(ctx, "after"), wait)
+	wait := time.Duration(queryNumber(ctx, "wait_ms")) * time.Millisecond
+	batch, err := s.api.Wait(context.Background(), prefixes, queryNumber(ctx, "after"), wait)
 	respond(ctx, batch, err)
 }
 
-func keyOf(ctx *fasthttp.RequestCtx) string {
+func objectKey(ctx *fasthttp.RequestCtx) string {
 	key, _ := ctx.UserValue("key").(string)
 	return key
 }
 
-func number(ctx *fasthttp.RequestCtx, name string) uint64 {
+func queryNumber(ctx *fasthttp.RequestCtx, name string) uint64 {
 	value, _ := strconv.ParseUint(string(ctx.QueryArgs().Peek(name)), 10, 64)
 	return value
 }
