--- a/internal/testing/faultmatrix/badinput_test.go
+++ b/internal/testing/faultmatrix/badinput_test.go
@@ -25,7 +25,7 @@
 			}},
 		})
 		// A daemon that has not learnt of an organisation yet can't tell its callers from strangers.
-		c.await(2*time.Second, "the organisation is known to every daemon", func() bool { return c.inForce(changed) })
+		c.await(2*time.Second, "the organisation is known to every daemon", func() bool { return c.configInForce(changed) })
 		a := newAgent(c, c.nodes[0])
 		id, err := a.start("key", 0)
 		assert.NilError(t, err)
--- a/internal/testing/faultmatrix/checker_test.go
+++ b/internal/testing/faultmatrix/checker_test.go
@@ -11,29 +11,29 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// promise is one of the ten things that must always hold.
-type promise string
+// invariant is one of the ten things that must always hold.
+type invariant string
 
 const (
-	inOrder      promise = "calls run in order"
-	historyWhole promise = "history is neither lost nor mixed"
-	withinBudget promise = "no program spends beyond its budget"
-	memoryFreed  promise = "no engine memory stays held by ended programs"
-	answerWhole  promise = "each caller gets the whole answer to its own request"
-	notRunTrue   promise = "a refusal that says not run is true"
-	atMostOnce   promise = "what must not be repeated runs at most once"
-	leavingLeft  promise = "a leaving backend server gets no new work"
-	nothingCut   promise = "a planned stop cuts no request"
-	configRises  promise = "configuration is in force in seconds and never reverts"
+	inOrder           invariant = "calls run in order"
+	historyComplete   invariant = "history is neither lost nor mixed"
+	withinBudget      invariant = "no program spends beyond its budget"
+	memoryFreed       invariant = "no engine memory stays held by ended programs"
+	answerComplete    invariant = "each caller gets the whole answer to its own request"
+	refusalTrue       invariant = "a refusal that says not run is true"
+	atMostOnce        invariant = "what must not be repeated runs at most once"
+	drainingRespected invariant = "a leaving backend server gets no new work"
+	stopGraceful      invariant = "a planned stop cuts no request"
+	configMonotonic   invariant = "configuration is in force in seconds and never reverts"
 )
 
 // violation is a promise that did not hold.
 type violation struct {
-	promise promise
-	what    string
+	invariant invariant
+	detail    string
 }
 
-func (v violation) String() string { return fmt.Sprintf("%s: %s", v.promise, v.what) }
+func (v violation) String() string { return fmt.Sprintf("%s: %s", v.invariant, v.detail) }
 
 // checker compares what callers saw with what backend servers did and what rookpass says.
 type checker struct {
@@ -42,7 +42,7 @@
 	violations []violation
 }
 
-func (k *checker) violated(p promise, format string, args ...any) {
+func (k *checker) addViolation(p invariant, format string, args ...any) {
 	k.violations = append(k.violations, violation{p, fmt.Sprintf(format, args...)})
 }
 
@@ -68,7 +68,7 @@
 	for id, program := range k.h.programs {
 		for i, turn := range program.History {
 			if turn.Sequence != uint64(i+1) {
-				k.violated(inOrder, "program %s has sequence %d at place %d", id, turn.Sequence, i+1)
+				k.addViolation(inOrder, "program %s has sequence %d at place %d", id, turn.Sequence, i+1)
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 			continue
 		}
 		if sequence < last[program] {
-			k.violated(inOrder, "effect %d of %s came after %d", sequence, program, last[program])
+			k.addViolation(inOrder, "effect %d of %s came after %d", sequence, program, last[program])
 		}
 		last[program] = sequence
 	}
@@ -96,18 +96,18 @@
 		}
 		i := slices.IndexFunc(program.History, func(t *rookpassv1.Turn) bool { return t.RequestId == o.call.RequestId })
 		if i < 0 {
-			k.violated(historyWhole, "answered call %s is not in the history", o.call.RequestId)
+			k.addViolation(historyComplete, "answered call %s is not in the history", o.call.RequestId)
 			continue
 		}
 		if !bytes.Equal(program.History[i].Output, o.output) {
-			k.violated(historyWhole, "call %s was answered %q, the history says %q", o.call.RequestId, o.output, program.History[i].Output)
+			k.addViolation(historyComplete, "call %s was answered %q, the history says %q", o.call.RequestId, o.output, program.History[i].Output)
 		}
 	}
 	for id, program := range k.h.programs {
 		seen := map[string]bool{}
 		for _, turn := range program.History {
 			if !strings.HasSuffix(turn.RequestId, "@"+id) || seen[turn.RequestId] {
-				k.violated(historyWhole, "program %s holds call %s", id, turn.RequestId)
+				k.addViolation(historyComplete, "program %s holds call %s", id, turn.RequestId)
 			}
 			seen[turn.RequestId] = true
 		}
@@ -119,16 +119,16 @@
 	spent := map[string]int64{}
 	for _, engine := range k.c.engines {
 		for _, served := range engine.Served() {
-			spent[rootOf(served.HoldTag)] += served.Usage.PromptTokens + served.Usage.CompletionTokens
+			spent[rootProgram(served.HoldTag)] += served.Usage.PromptTokens + served.Usage.CompletionTokens
 		}
 	}
 	for _, effect := range k.c.tool.Effects() {
 		_, program, _ := strings.Cut(effect.RequestID, "@")
-		spent[rootOf(program)] += 10
+		spent[rootProgram(program)] += 10
 	}
 	for id, program := range k.h.programs {
 		if spent[id] > program.BudgetTokens || program.SpentTokens > program.BudgetTokens {
-			k.violated(withinBudget, "program %s: budget %d, spent %d, says %d", id, program.BudgetTokens, spent[id], program.SpentTokens)
+			k.addViolation(withinBudget, "program %s: budget %d, spent %d, says %d", id, program.BudgetTokens, spent[id], program.SpentTokens)
 		}
 	}
 }
@@ -137,8 +137,8 @@
 func (k *checker) memory() {
 	for i, engine := range k.c.engines {
 		for _, tag := range engine.HeldTags() {
-			if k.h.ended[rootOf(tag)] {
-				k.violated(memoryFreed, "engine %d holds cache of ended program %s", i+1, tag)
+			if k.h.ended[rootProgram(tag)] {
+				k.addViolation(memoryFreed, "engine %d holds cache of ended program %s", i+1, tag)
 			}
 		}
 	}
@@ -151,13 +151,13 @@
 			continue
 		}
 		if len(o.output) == 0 {
-			k.violated(answerWhole, "call %s was answered with nothing", o.call.RequestId)
+			k.addViolation(answerComplete, "call %s was answered with nothing", o.call.RequestId)
 		}
 		if o.call.Kind == rookpassv1.CallKind_CALL_KIND_MODEL && len(o.output) != answerBytes {
-			k.violated(answerWhole, "call %s got %d of %d bytes", o.call.RequestId, len(o.output), answerBytes)
+			k.addViolation(answerComplete, "call %s got %d of %d bytes", o.call.RequestId, len(o.output), answerBytes)
 		}
 		if o.call.Kind == rookpassv1.CallKind_CALL_KIND_TOOL && !bytes.Contains(o.output, o.call.Input) {
-			k.violated(answerWhole, "call %s got another call's answer %q", o.call.RequestId, o.output)
+			k.addViolation(answerComplete, "call %s got another call's answer %q", o.call.RequestId, o.output)
 		}
 	}
 }
@@ -165,9 +165,9 @@
 // refusals: a call that was only ever told "not run" has left no effect.
 func (k *checker) refusals() {
 	for _, o := range k.h.outcomes {
-		refused := !o.answered && len(o.told) > 0 && !slices.ContainsFunc(o.told, func(err error) bool { return !notRun(err) })
+		refused := !o.answered && len(o.attemptErrors) > 0 && !slices.ContainsFunc(o.attemptErrors, func(err error) bool { return !isNotRun(err) })
 		if refused && k.ran(o.call.RequestId) > 0 {
-			k.violated(notRunTrue, "call %s was refused as not run, but ran", o.call.RequestId)
+			k.addViolation(refusalTrue, "call %s was refused as not run, but ran", o.call.RequestId)
 		}
 	}
 }
@@ -180,10 +180,10 @@
 		}
 		ran := k.ran(o.call.RequestId)
 		if ran > 1 {
-			k.violated(atMostOnce, "call %s ran %d times", o.call.RequestId, ran)
+			k.addViolation(atMostOnce, "call %s ran %d times", o.call.RequestId, ran)
 		}
 		if o.answered && o.verdict == verdict.Ran && ran == 0 {
-			k.violated(answerWhole, "call %s was answered but never ran", o.call.RequestId)
+			k.addViolation(answerComplete, "call %s was answered but never ran", o.call.RequestId)
 		}
 	}
 }
@@ -199,8 +199,8 @@
 	return count
 }
 
-// inForceWithin is how soon a change must be in force on every daemon that is not cut off altogether.
-const inForceWithin = 10 * time.Second
+// configTimeout is how soon a change must be in force on every daemon that is not cut off altogether.
+const configTimeout = 10 * time.Second
 
 // watchConfig samples every live daemon's configuration until stopped, and reports a revision that fell.
 func watchConfig(c *cluster) (stop func() []violation) {
@@ -208,16 +208,16 @@
 	result := make(chan []violation)
 	go func() {
 		k := &checker{c: c}
-		highest := map[*life]uint64{}
+		highest := map[*instance]uint64{}
 		for {
 			for _, n := range c.nodes {
-				l := n.life
+				l := n.instance
 				if !n.alive() {
 					continue
 				}
 				revision := l.daemon.Config().View().Revision
 				if revision < highest[l] {
-					k.violated(configRises, "%s went from revision %d back to %d", n.name, highest[l], revision)
+					k.addViolation(configMonotonic, "%s went from revision %d back to %d", n.name, highest[l], revision)
 				}
 				highest[l] = max(highest[l], revision)
 			}
--- a/internal/testing/faultmatrix/cluster_test.go
+++ b/internal/testing/faultmatrix/cluster_test.go
@@ -69,11 +69,11 @@
 	name  string
 	index int
 	fault *apitest.API
-	// life is the running daemon; nil while it is dead.
-	life *life
+	// instance is the running daemon; nil while it is dead.
+	instance *instance
 }
 
-type life struct {
+type instance struct {
 	daemon *daemon.Daemon
 	cancel context.CancelFunc
 	// done is closed when the daemon has ended: it was killed, or its planned stop is complete.
@@ -82,11 +82,11 @@
 
 // alive tells whether the node's daemon runs.
 func (n *node) alive() bool {
-	if n.life == nil {
+	if n.instance == nil {
 		return false
 	}
 	select {
-	case <-n.life.done:
+	case <-n.instance.done:
 		return false
 	default:
 		return true
@@ -103,7 +103,7 @@
 		n := &node{name: fmt.Sprintf("d%d", i+1), index: i + 1, fault: apitest.New(c.store)}
 		c.nodes = append(c.nodes, n)
 		c.serve(platformHost, n.address(9), standin.ObjectAPI(n.fault))
-		c.boot(n)
+		c.start(n)
 	}
 	c.awaitReady()
 	return c
@@ -130,7 +130,7 @@
 	c.t.Helper()
 	listener, err := c.fabric.Listen(host, address)
 	assert.NilError(c.t, err)
-	server := &fasthttp.Server{Handler: handler, NoDefaultDate: true, Logger: quiet{}}
+	server := &fasthttp.Server{Handler: handler, NoDefaultDate: true, Logger: discardLogger{}}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -142,10 +142,10 @@
 	})
 }
 
-// quiet drops the complaints of servers whose clients were killed.
-type quiet struct{}
+// discardLogger drops the complaints of servers whose clients were killed.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // configure writes the configuration straight into the object API.
 func (c *cluster) configure() {
@@ -198,10 +198,10 @@
 	return written.Version
 }
 
-// inForce tells whether every live daemon has a change in force.
-func (c *cluster) inForce(version uint64) bool {
+// configInForce tells whether every live daemon has a change in force.
+func (c *cluster) configInForce(version uint64) bool {
 	for _, n := range c.nodes {
-		if n.alive() && n.life.daemon.Config().AsOf() < version {
+		if n.alive() && n.instance.daemon.Config().AsOf() < version {
 			return false
 		}
 	}
@@ -219,8 +219,8 @@
 	return s
 }
 
-// boot starts a node's daemon.
-func (c *cluster) boot(n *node) {
+// start starts a node's daemon.
+func (c *cluster) start(n *node) {
 	c.t.Helper()
 	c.fabric.Restart(n.name)
 	log := logrus.New()
@@ -228,10 +228,10 @@
 	d, err := daemon.New(c.settings(n), memnet.Host{Fabric: c.fabric, Name: n.name}, log, &telemetry.Tracing{}, rand.New(rand.NewPCG(c.random.Uint64(), 0)))
 	assert.NilError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &life{daemon: d, cancel: cancel, done: make(chan struct{})}
-	n.life = l
+	inst := &instance{daemon: d, cancel: cancel, done: make(chan struct{})}
+	n.instance = inst
 	go func() {
-		defer close(l.done)
+		defer close(inst.done)
 		_ = d.Run(ctx)
 	}()
 	c.t.Cleanup(func() { c.kill(n) })
@@ -239,14 +239,14 @@
 
 // kill drops a node's daemon with all its memory.
 func (c *cluster) kill(n *node) {
-	l := n.life
-	if l == nil {
+	inst := n.instance
+	if inst == nil {
 		return
 	}
-	n.life = nil
+	n.instance = nil
 	c.fabric.Kill(n.name)
-	l.cancel()
-	<-l.done
+	inst.cancel()
+	<-inst.done
 }
 
 // awaitReady returns once every live daemon serves.
@@ -254,7 +254,7 @@
 	c.t.Helper()
 	c.await(time.Minute, "daemons serve", func() bool {
 		for _, n := range c.nodes {
-			if n.alive() && n.life.daemon.Ready() != nil {
+			if n.alive() && n.instance.daemon.Ready() != nil {
 				return false
 			}
 		}
@@ -297,15 +297,15 @@
 func (c *cluster) ownerOf(programID string) *node {
 	c.t.Helper()
 	for _, n := range c.nodes {
-		if n.alive() && n.life.daemon.Holds(programID) {
+		if n.alive() && n.instance.daemon.Holds(programID) {
 			return n
 		}
 	}
 	return nil
 }
 
-// other returns the next live node after the given one, or nil.
-func (c *cluster) other(not *node) *node {
+// nextAlive returns the next live node after the given one, or nil.
+func (c *cluster) nextAlive(not *node) *node {
 	for i := range c.nodes {
 		if n := c.nodes[(not.index+i)%len(c.nodes)]; n != not && n.alive() {
 			return n
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -16,21 +16,21 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// guarded is a promise with the protection that keeps it and a course of events in which it matters.
-type guarded struct {
-	promise promise
-	guard   guard.Guard
-	drive   func(c *cluster, a *agent) []violation
+// guardCase is a promise with the protection that keeps it and a course of events in which it matters.
+type guardCase struct {
+	invariant invariant
+	guard     guard.Guard
+	run       func(c *cluster, a *agent) []violation
 }
 
-var guards = []guarded{
+var guardCases = []guardCase{
 	{inOrder, guard.SequenceCheck, func(_ *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		_, _ = a.call(modelCall(id, 1))
 		_, _ = a.call(modelCall(id, 3)) // Out of order: must be refused.
 		return nil
 	}},
-	{historyWhole, guard.Seal, func(c *cluster, a *agent) []violation {
+	{historyComplete, guard.Seal, func(c *cluster, a *agent) []violation {
 		// Its peers can't reach the owner and take over, while callers and the object API can, and its watch is
 		// late: it goes on making calls until its next renewal tells it.
 		id, _ := a.start("key", 0)
@@ -60,8 +60,8 @@
 		}
 		return nil
 	}},
-	{memoryFreed, guard.CacheRelease, func(_ *cluster, a *agent) []violation { return program(nil, a) }},
-	{answerWhole, guard.CompleteStream, func(c *cluster, a *agent) []violation {
+	{memoryFreed, guard.CacheRelease, func(_ *cluster, a *agent) []violation { return runProgram(nil, a) }},
+	{answerComplete, guard.CompleteStream, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		for _, engine := range c.engines {
 			engine.SetFaults(standin.EngineFaults{CutAfter: 3, ForgetStreams: true})
@@ -74,20 +74,20 @@
 		_, _ = a.call(modelCall(id, 1))
 		return nil
 	}},
-	{historyWhole, guard.DurableAnswers, func(c *cluster, a *agent) []violation {
+	{historyComplete, guard.DurableAnswers, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		_, _ = a.call(modelCall(id, 1)) // Borrows from the organisation's budget.
-		api(apitest.Down, c.nodes...)
+		setAPIFault(apitest.Down, c.nodes...)
 		_, _ = a.call(modelCall(id, 2))
 		c.kill(c.ownerOf(id))
 		<-time.After(time.Second) // A request that a peer was relaying fails in the outage too.
 		for _, n := range c.nodes {
 			n.fault.SetFault(apitest.None)
 		}
-		a.elsewhere()
+		a.switchNode()
 		return nil
 	}},
-	{notRunTrue, guard.UncertainVerdict, func(c *cluster, a *agent) []violation {
+	{refusalTrue, guard.UncertainVerdict, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		c.tool.SetFaults(standin.ServiceFaults{DropAnswer: true})
 		o := &outcome{program: id, call: toolCall(id, 1)}
@@ -95,7 +95,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 		defer cancel()
 		if answer, err := a.client.Call(ctx, o.call, nil); err != nil {
-			o.told = append(o.told, err)
+			o.attemptErrors = append(o.attemptErrors, err)
 		} else {
 			o.answered, o.verdict = true, verdict.FromProto(answer.Final.Verdict)
 		}
@@ -108,16 +108,16 @@
 		_, _ = a.call(toolCall(id, 1))
 		return nil
 	}},
-	{leavingLeft, guard.Draining, backendDrain},
-	{nothingCut, guard.GracefulStop, func(c *cluster, a *agent) []violation {
+	{drainingRespected, guard.Draining, backendDrain},
+	{stopGraceful, guard.GracefulStop, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		owner := c.ownerOf(id)
 		c.tool.SetFaults(standin.ServiceFaults{HangMillis: 2000})
-		time.AfterFunc(500*time.Millisecond, owner.life.daemon.Drain)
+		time.AfterFunc(500*time.Millisecond, owner.instance.daemon.Drain)
 		_, _ = a.call(toolCall(id, 1))
-		return cutRequests(a.history)
+		return failedRequests(a.history)
 	}},
-	{configRises, guard.MonotonicConfig, func(c *cluster, _ *agent) []violation {
+	{configMonotonic, guard.MonotonicConfig, func(c *cluster, _ *agent) []violation {
 		// A daemon that has a change in force loses its watch and is given a list from before.
 		watched := watchConfig(c)
 		before, _ := c.store.List(context.Background(), "")
@@ -133,28 +133,28 @@
 // TestCheckerCatches switches each guard off and expects the checker to say which promise broke; with the
 // guard on, the same course of events breaks nothing.
 func TestCheckerCatches(t *testing.T) {
-	for _, g := range guards {
-		t.Run(fmt.Sprintf("%s/guard %d", g.promise, g.guard), func(t *testing.T) {
+	for _, g := range guardCases {
+		t.Run(fmt.Sprintf("%s/guard %d", g.invariant, g.guard), func(t *testing.T) {
 			var protected, unprotected []violation
-			testbubble.Run(t, func(t *testing.T) { protected = course(t, g) })
+			testbubble.Run(t, func(t *testing.T) { protected = runCase(t, g) })
 			assert.Equal(t, len(protected), 0, "with the guard on: %v", protected)
 			restore := guard.Disable(g.guard)
 			defer restore()
-			testbubble.Run(t, func(t *testing.T) { unprotected = course(t, g) })
-			caught := slices.ContainsFunc(unprotected, func(v violation) bool { return v.promise == g.promise })
+			testbubble.Run(t, func(t *testing.T) { unprotected = runCase(t, g) })
+			caught := slices.ContainsFunc(unprotected, func(v violation) bool { return v.invariant == g.invariant })
 			assert.Assert(t, caught, "the checker did not notice; it found %v", unprotected)
 		})
 	}
 }
 
-// course runs a course of events and checks everything afterwards.
-func course(t *testing.T, g guarded) []violation {
+// runCase runs a runCase of events and checks everything afterwards.
+func runCase(t *testing.T, g guardCase) []violation {
 	c := newCluster(t, 3, 1)
 	a := newAgent(c, c.nodes[0])
-	violations := g.drive(c, a)
+	violations := g.run(c, a)
 	<-time.After(settleTime)
 	if err := a.readAll(); err != nil {
-		violations = append(violations, violation{historyWhole, "programs can't be read: " + err.Error()})
+		violations = append(violations, violation{historyComplete, "programs can't be read: " + err.Error()})
 	}
 	return append(violations, check(c, a.history)...)
 }
--- a/internal/testing/faultmatrix/history_test.go
+++ b/internal/testing/faultmatrix/history_test.go
@@ -20,8 +20,8 @@
 	answered bool
 	verdict  verdict.Verdict
 	output   []byte
-	// told are the errors that came before, in order.
-	told []error
+	// attemptErrors are the errors that came before, in order.
+	attemptErrors []error
 }
 
 // history is what the caller saw, in the order of its requests.
@@ -43,28 +43,28 @@
 	history *history
 	entry   *node
 	client  *client.Client
-	// before is called when a step begins, with its number from 0.
-	before func(step int)
-	steps  int
+	// beforeStep is called when a step begins, with its number from 0.
+	beforeStep func(step int)
+	steps      int
 }
 
 func newAgent(c *cluster, entry *node) *agent {
-	return &agent{c: c, history: newHistory(), entry: entry, client: c.client(entry), before: func(int) {}}
+	return &agent{c: c, history: newHistory(), entry: entry, client: c.client(entry), beforeStep: func(int) {}}
 }
 
-// patience bounds one step.
-const patience = 3 * time.Minute
+// stepTimeout bounds one step.
+const stepTimeout = 3 * time.Minute
 
 // attemptTimeout bounds one attempt, so that a frozen entry is noticed.
 const attemptTimeout = 20 * time.Second
 
-var errNotInTime = errors.New("step did not succeed in time")
+var errStepTimeout = errors.New("step did not succeed in time")
 
 // step runs one request until it is answered or refused for good.
 func (a *agent) step(attempt func(ctx context.Context) error) error {
-	a.before(a.steps)
+	a.beforeStep(a.steps)
 	a.steps++
-	for began := time.Now(); time.Since(began) < patience; {
+	for began := time.Now(); time.Since(began) < stepTimeout; {
 		ctx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 		err := attempt(ctx)
 		cancel()
@@ -75,15 +75,15 @@
 		if typed.RetryAfter == 0 && typed.Code != verdict.Lost {
 			return err
 		}
-		a.elsewhere()
+		a.switchNode()
 		<-time.After(max(typed.RetryAfter, 50*time.Millisecond))
 	}
-	return errNotInTime
+	return errStepTimeout
 }
 
-// elsewhere goes on with the next live daemon, as a balancer would do.
-func (a *agent) elsewhere() {
-	if other := a.c.other(a.entry); other != nil {
+// switchNode goes on with the next live daemon, as a balancer would do.
+func (a *agent) switchNode() {
+	if other := a.c.nextAlive(a.entry); other != nil {
 		a.entry = other
 		a.client = a.c.client(other)
 	}
@@ -109,7 +109,7 @@
 		answer, err := a.client.Call(ctx, call, nil)
 		if err != nil {
 			o.verdict = verdict.Of(err).Verdict
-			o.told = append(o.told, err)
+			o.attemptErrors = append(o.attemptErrors, err)
 			return err
 		}
 		o.answered, o.verdict, o.output = true, verdict.FromProto(answer.Final.Verdict), answer.Output
@@ -210,10 +210,10 @@
 	return nil
 }
 
-func rootOf(program string) string {
+func rootProgram(program string) string {
 	root, _, _ := strings.Cut(program, ".")
 	return root
 }
 
-// notRun tells whether an error promises that the request did not run.
-func notRun(err error) bool { return verdict.Of(err).Verdict == verdict.NotRun }
+// isNotRun tells whether an error promises that the request did not run.
+func isNotRun(err error) bool { return verdict.Of(err).Verdict == verdict.NotRun }
--- a/internal/testing/faultmatrix/matrix_test.go
+++ b/internal/testing/faultmatrix/matrix_test.go
@@ -19,17 +19,17 @@
 // fault is a column of the matrix. strike does the harm and returns what undoes it, which is called after
 // lasts.
 type fault struct {
-	name   string
-	lasts  time.Duration
-	strike func(c *cluster, owner, entry *node) (undo func())
+	name     string
+	duration time.Duration
+	inject   func(c *cluster, owner, entry *node) (undo func())
 	// harmless faults must not even make a request fail: planned stops.
 	harmless bool
 }
 
-func nothing() {}
+func noUndo() {}
 
-// api sets a fault of the object API for some nodes.
-func api(kind apitest.Fault, nodes ...*node) func() {
+// setAPIFault sets a fault of the object API for some nodes.
+func setAPIFault(kind apitest.Fault, nodes ...*node) func() {
 	for _, n := range nodes {
 		n.fault.SetFault(kind)
 	}
@@ -40,7 +40,7 @@
 	}
 }
 
-func slow(c *cluster, delay time.Duration) func() {
+func setAPIDelay(c *cluster, delay time.Duration) func() {
 	for _, n := range c.nodes {
 		n.fault.SetDelay(delay)
 	}
@@ -55,24 +55,24 @@
 const normalDelay = 3 * time.Millisecond
 
 var faults = []fault{
-	{name: "owner killed", strike: func(c *cluster, owner, _ *node) func() { c.kill(owner); return nothing }},
-	{name: "entry killed", strike: func(c *cluster, _, entry *node) func() { c.kill(entry); return nothing }},
-	{name: "owner killed and restarted", lasts: time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner killed", inject: func(c *cluster, owner, _ *node) func() { c.kill(owner); return noUndo }},
+	{name: "entry killed", inject: func(c *cluster, _, entry *node) func() { c.kill(entry); return noUndo }},
+	{name: "owner killed and restarted", duration: time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		c.kill(owner)
-		return func() { c.boot(owner) }
+		return func() { c.start(owner) }
 	}},
-	{name: "owner killed, then its successor", lasts: 3 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner killed, then its successor", duration: 3 * time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		c.kill(owner)
 		<-time.After(1700 * time.Millisecond)
-		next := c.other(owner)
+		next := c.nextAlive(owner)
 		c.kill(next)
-		return func() { c.boot(next) }
+		return func() { c.start(next) }
 	}},
-	{name: "owner frozen past its lease", lasts: 20 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner frozen past its lease", duration: 20 * time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		c.fabric.Freeze(owner.name)
 		return func() { c.fabric.Thaw(owner.name) }
 	}},
-	{name: "owner cut from its peers", lasts: 5 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner cut from its peers", duration: 5 * time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		for _, n := range c.nodes {
 			if n != owner {
 				c.fabric.Partition(owner.name, n.name)
@@ -84,44 +84,44 @@
 			}
 		}
 	}},
-	{name: "entry and owner cut for a moment", lasts: 100 * time.Millisecond, strike: func(c *cluster, owner, entry *node) func() {
+	{name: "entry and owner cut for a moment", duration: 100 * time.Millisecond, inject: func(c *cluster, owner, entry *node) func() {
 		c.fabric.Partition(owner.name, entry.name)
 		return func() { c.fabric.Heal(owner.name, entry.name) }
 	}},
-	{name: "callers cut from the entry", lasts: time.Second, strike: func(c *cluster, _, entry *node) func() {
+	{name: "callers cut from the entry", duration: time.Second, inject: func(c *cluster, _, entry *node) func() {
 		c.fabric.Partition(callerHost, entry.name)
 		return func() { c.fabric.Heal(callerHost, entry.name) }
 	}},
-	{name: "owner cut from the object API", lasts: 15 * time.Second, strike: func(_ *cluster, owner, _ *node) func() {
-		return api(apitest.Down, owner)
+	{name: "owner cut from the object API", duration: 15 * time.Second, inject: func(_ *cluster, owner, _ *node) func() {
+		return setAPIFault(apitest.Down, owner)
 	}},
-	{name: "object API down", lasts: 15 * time.Second, strike: func(c *cluster, _, _ *node) func() {
-		return api(apitest.Down, c.nodes...)
+	{name: "object API down", duration: 15 * time.Second, inject: func(c *cluster, _, _ *node) func() {
+		return setAPIFault(apitest.Down, c.nodes...)
 	}},
-	{name: "object API hangs", lasts: 15 * time.Second, strike: func(c *cluster, _, _ *node) func() {
-		return api(apitest.Hang, c.nodes...)
+	{name: "object API hangs", duration: 15 * time.Second, inject: func(c *cluster, _, _ *node) func() {
+		return setAPIFault(apitest.Hang, c.nodes...)
 	}},
-	{name: "object API slow", lasts: 15 * time.Second, strike: func(c *cluster, _, _ *node) func() {
-		return slow(c, 400*time.Millisecond)
+	{name: "object API slow", duration: 15 * time.Second, inject: func(c *cluster, _, _ *node) func() {
+		return setAPIDelay(c, 400*time.Millisecond)
 	}},
-	{name: "object API read-only", lasts: 15 * time.Second, strike: func(c *cluster, _, _ *node) func() {
-		return api(apitest.ReadOnly, c.nodes...)
+	{name: "object API read-only", duration: 15 * time.Second, inject: func(c *cluster, _, _ *node) func() {
+		return setAPIFault(apitest.ReadOnly, c.nodes...)
 	}},
-	{name: "object API loses answers", lasts: 2 * time.Second, strike: func(c *cluster, _, _ *node) func() {
-		return api(apitest.LostResponses, c.nodes...)
+	{name: "object API loses answers", duration: 2 * time.Second, inject: func(c *cluster, _, _ *node) func() {
+		return setAPIFault(apitest.LostResponses, c.nodes...)
 	}},
-	{name: "object API loses requests", lasts: 2 * time.Second, strike: func(c *cluster, _, _ *node) func() {
-		return api(apitest.LostRequests, c.nodes...)
+	{name: "object API loses requests", duration: 2 * time.Second, inject: func(c *cluster, _, _ *node) func() {
+		return setAPIFault(apitest.LostRequests, c.nodes...)
 	}},
-	{name: "lists are stale and watches lose their place", lasts: 5 * time.Second, strike: func(c *cluster, _, _ *node) func() {
-		return api(apitest.Stale, c.nodes...)
+	{name: "lists are stale and watches lose their place", duration: 5 * time.Second, inject: func(c *cluster, _, _ *node) func() {
+		return setAPIFault(apitest.Stale, c.nodes...)
 	}},
-	{name: "watches lose their place", strike: func(c *cluster, _, _ *node) func() { c.store.Compact(); return nothing }},
-	{name: "engines cut streams and forget them", lasts: 2 * time.Second, strike: func(c *cluster, _, _ *node) func() {
+	{name: "watches lose their place", inject: func(c *cluster, _, _ *node) func() { c.store.Compact(); return noUndo }},
+	{name: "engines cut streams and forget them", duration: 2 * time.Second, inject: func(c *cluster, _, _ *node) func() {
 		c.engines[0].SetFaults(standin.EngineFaults{CutAfter: 3, ForgetStreams: true})
 		return func() { c.engines[0].SetFaults(standin.EngineFaults{}) }
 	}},
-	{name: "engines cut streams", lasts: 2 * time.Second, strike: func(c *cluster, _, _ *node) func() {
+	{name: "engines cut streams", duration: 2 * time.Second, inject: func(c *cluster, _, _ *node) func() {
 		for _, engine := range c.engines {
 			engine.SetFaults(standin.EngineFaults{CutAfter: 3})
 		}
@@ -131,15 +131,15 @@
 			}
 		}
 	}},
-	{name: "tool hangs", lasts: 10 * time.Second, strike: func(c *cluster, _, _ *node) func() {
+	{name: "tool hangs", duration: 10 * time.Second, inject: func(c *cluster, _, _ *node) func() {
 		c.tool.SetFaults(standin.ServiceFaults{HangMillis: 8000})
 		return func() { c.tool.SetFaults(standin.ServiceFaults{}) }
 	}},
-	{name: "tool loses answers", lasts: 2 * time.Second, strike: func(c *cluster, _, _ *node) func() {
+	{name: "tool loses answers", duration: 2 * time.Second, inject: func(c *cluster, _, _ *node) func() {
 		c.tool.SetFaults(standin.ServiceFaults{DropAnswer: true})
 		return func() { c.tool.SetFaults(standin.ServiceFaults{}) }
 	}},
-	{name: "backends refuse", lasts: time.Second, strike: func(c *cluster, _, _ *node) func() {
+	{name: "backends refuse", duration: time.Second, inject: func(c *cluster, _, _ *node) func() {
 		c.tool.SetFaults(standin.ServiceFaults{Refuse: true})
 		c.engines[0].SetFaults(standin.EngineFaults{Refuse: true})
 		return func() {
@@ -147,64 +147,64 @@
 			c.engines[0].SetFaults(standin.EngineFaults{})
 		}
 	}},
-	{name: "owner cut from the backends", lasts: 2 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner cut from the backends", duration: 2 * time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		c.fabric.Partition(owner.name, backendHost)
 		return func() { c.fabric.Heal(owner.name, backendHost) }
 	}},
-	{name: "owner killed while the object API loses answers", lasts: 2 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner killed while the object API loses answers", duration: 2 * time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		c.kill(owner)
-		return api(apitest.LostResponses, c.nodes...)
+		return setAPIFault(apitest.LostResponses, c.nodes...)
 	}},
-	{name: "owner frozen while the object API is slow", lasts: 20 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner frozen while the object API is slow", duration: 20 * time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		c.fabric.Freeze(owner.name)
-		fast := slow(c, 300*time.Millisecond)
+		fast := setAPIDelay(c, 300*time.Millisecond)
 		return func() { c.fabric.Thaw(owner.name); fast() }
 	}},
-	{name: "owner killed in an outage of the object API", lasts: 10 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner killed in an outage of the object API", duration: 10 * time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		c.kill(owner)
-		return api(apitest.Down, c.nodes...)
+		return setAPIFault(apitest.Down, c.nodes...)
 	}},
-	{name: "owner frozen and the tool loses answers", lasts: 12 * time.Second, strike: func(c *cluster, owner, _ *node) func() {
+	{name: "owner frozen and the tool loses answers", duration: 12 * time.Second, inject: func(c *cluster, owner, _ *node) func() {
 		c.fabric.Freeze(owner.name)
 		c.tool.SetFaults(standin.ServiceFaults{DropAnswer: true})
 		return func() { c.fabric.Thaw(owner.name); c.tool.SetFaults(standin.ServiceFaults{}) }
 	}},
-	{name: "planned stop of the owner", harmless: true, strike: func(_ *cluster, owner, _ *node) func() {
-		owner.life.daemon.Drain()
-		return nothing
+	{name: "planned stop of the owner", harmless: true, inject: func(_ *cluster, owner, _ *node) func() {
+		owner.instance.daemon.Drain()
+		return noUndo
 	}},
-	{name: "planned stop of the entry", harmless: true, strike: func(_ *cluster, _, entry *node) func() {
-		entry.life.daemon.Drain()
-		return nothing
+	{name: "planned stop of the entry", harmless: true, inject: func(_ *cluster, _, entry *node) func() {
+		entry.instance.daemon.Drain()
+		return noUndo
 	}},
 }
 
-// offsets are the times after a step's begin at which a fault strikes: before anything left, while records
+// injectionOffsets are the times after a step's begin at which a fault strikes: before anything left, while records
 // are being written, while the backend server works, and later.
-var offsets = []time.Duration{0, 2 * time.Millisecond, 7 * time.Millisecond, 30 * time.Millisecond}
+var injectionOffsets = []time.Duration{0, 2 * time.Millisecond, 7 * time.Millisecond, 30 * time.Millisecond}
 
-// cell runs a row with one fault at one moment and returns what did not hold.
-func cell(t *testing.T, seed uint64, r row, f fault, offset time.Duration) []violation {
+// runCell runs a row with one fault at one moment and returns what did not hold.
+func runCell(t *testing.T, seed uint64, r scenario, f fault, offset time.Duration) []violation {
 	c := newCluster(t, 3, seed)
-	slow(c, normalDelay)
+	setAPIDelay(c, normalDelay)
 	a := newAgent(c, c.nodes[0])
 	undone := make(chan struct{})
-	a.before = func(begun int) {
-		if begun == r.step {
-			go c.harm(f, a.entry, a.history, offset, undone)
+	a.beforeStep = func(step int) {
+		if step == r.step {
+			go c.injectAtOwner(f, a.entry, a.history, offset, undone)
 		}
 	}
 	watched := watchConfig(c)
 	violations := r.drive(c, a)
 	<-undone
 	violations = append(violations, watched()...)
-	a.before = func(int) {}
+	a.beforeStep = func(int) {}
 	<-time.After(settleTime)
 	if err := a.readAll(); err != nil {
-		violations = append(violations, violation{historyWhole, "programs can't be read: " + err.Error()})
+		violations = append(violations, violation{historyComplete, "programs can't be read: " + err.Error()})
 	}
 	if f.harmless && !r.kills {
-		violations = append(violations, cutRequests(a.history)...)
+		violations = append(violations, failedRequests(a.history)...)
 	}
 	return append(violations, check(c, a.history)...)
 }
@@ -212,29 +212,29 @@
 // settleTime is what the cluster gets after the last fault to release memory.
 const settleTime = 40 * time.Second
 
-// harm strikes at the program's owner and undoes the fault after its time.
-func (c *cluster) harm(f fault, entry *node, h *history, offset time.Duration, undone chan struct{}) {
+// injectAtOwner strikes at the program's owner and undoes the fault after its time.
+func (c *cluster) injectAtOwner(f fault, entry *node, h *history, offset time.Duration, undone chan struct{}) {
 	defer close(undone)
 	<-time.After(offset)
 	owner := c.ownerOf(h.started["key"])
 	if owner == nil {
 		owner = c.nodes[1]
 	}
-	undo := f.strike(c, owner, entry)
-	<-time.After(f.lasts)
+	undo := f.inject(c, owner, entry)
+	<-time.After(f.duration)
 	undo()
 }
 
-// cutRequests finds requests that a planned stop made fail in a way that the caller can't simply repeat.
-func cutRequests(h *history) []violation {
+// failedRequests finds requests that a planned stop made fail in a way that the caller can't simply repeat.
+func failedRequests(h *history) []violation {
 	k := &checker{}
 	for _, o := range h.outcomes {
 		if o.answered && o.verdict == verdict.MayHaveRun {
-			k.violated(nothingCut, "call %s may have run", o.call.RequestId)
+			k.addViolation(stopGraceful, "call %s may have run", o.call.RequestId)
 		}
-		for _, err := range o.told {
-			if !notRun(err) {
-				k.violated(nothingCut, "call %s: %v", o.call.RequestId, err)
+		for _, err := range o.attemptErrors {
+			if !isNotRun(err) {
+				k.addViolation(stopGraceful, "call %s: %v", o.call.RequestId, err)
 			}
 		}
 	}
@@ -247,13 +247,13 @@
 	failed := map[string]int{}
 	run := map[string]int{}
 	t.Run("cells", func(t *testing.T) {
-		for _, r := range rows {
+		for _, r := range scenarios {
 			for _, f := range faults {
 				t.Run(r.name+"/"+f.name, func(t *testing.T) {
 					t.Parallel()
-					for i, offset := range offsets {
+					for i, offset := range injectionOffsets {
 						var violations []violation
-						testbubble.Run(t, func(t *testing.T) { violations = cell(t, uint64(i), r, f, offset) })
+						testbubble.Run(t, func(t *testing.T) { violations = runCell(t, uint64(i), r, f, offset) })
 						mu.Lock()
 						run[r.name+"|"+f.name]++
 						if len(violations) > 0 {
@@ -279,17 +279,17 @@
 func render(run, failed map[string]int) string {
 	var out strings.Builder
 	out.WriteString("| fault \\ step |")
-	for _, r := range rows {
+	for _, r := range scenarios {
 		out.WriteString(" " + r.name + " |")
 	}
-	out.WriteString("\n|" + strings.Repeat("---|", len(rows)+1) + "\n")
+	out.WriteString("\n|" + strings.Repeat("---|", len(scenarios)+1) + "\n")
 	held, broken, missed := 0, 0, 0
 	for _, f := range faults {
 		fmt.Fprintf(&out, "| %s |", f.name)
-		for _, r := range rows {
+		for _, r := range scenarios {
 			key := r.name + "|" + f.name
 			switch {
-			case run[key] < len(offsets):
+			case run[key] < len(injectionOffsets):
 				missed++
 				out.WriteString(" not reached |")
 			case failed[key] > 0:
@@ -302,6 +302,6 @@
 		}
 		out.WriteString("\n")
 	}
-	fmt.Fprintf(&out, "\n%d cells held, %d failed, %d not reached; each cell ran at %d moments.\n", held, broken, missed, len(offsets))
+	fmt.Fprintf(&out, "\n%d cells held, %d failed, %d not reached; each cell ran at %d moments.\n", held, broken, missed, len(injectionOffsets))
 	return out.String()
 }
--- a/internal/testing/faultmatrix/measure_test.go
+++ b/internal/testing/faultmatrix/measure_test.go
@@ -14,9 +14,9 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// measuring skips a test that only prints figures, unless ROOKPASS_MEASURE is set. The figures are in virtual
+// skipUnlessMeasuring skips a test that only prints figures, unless ROOKPASS_MEASURE is set. The figures are in virtual
 // time: they hold timers, messages and the object API's delay (3 ms), but no processor time.
-func measuring(t *testing.T) {
+func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if os.Getenv("ROOKPASS_MEASURE") == "" {
 		t.Skip("set ROOKPASS_MEASURE=1 to print the figures")
@@ -35,7 +35,7 @@
 
 // TestMeasureTakeover prints the time from a kill to the first call served, and from a planned stop.
 func TestMeasureTakeover(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, f := range faults {
 		if f.name != "owner killed" && f.name != "planned stop of the owner" && f.name != "owner frozen past its lease" {
 			continue
@@ -44,16 +44,16 @@
 		for seed := range uint64(repeats) {
 			testbubble.Run(t, func(t *testing.T) {
 				c := newCluster(t, 8, seed)
-				slow(c, normalDelay)
+				setAPIDelay(c, normalDelay)
 				a := newAgent(c, c.nodes[0])
 				id, err := a.start("key", 0)
 				assert.NilError(t, err)
 				owner := c.ownerOf(id)
 				if a.entry == owner {
-					a.elsewhere()
+					a.switchNode()
 				}
 				began := time.Now()
-				undo := f.strike(c, owner, a.entry)
+				undo := f.inject(c, owner, a.entry)
 				_, err = a.call(modelCall(id, 1))
 				assert.NilError(t, err)
 				times = append(times, time.Since(began))
@@ -66,13 +66,13 @@
 
 // TestMeasureConfiguration prints how long a change takes until it is in force on every daemon.
 func TestMeasureConfiguration(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, cut := range []bool{false, true} {
 		var times []time.Duration
 		for seed := range uint64(repeats) {
 			testbubble.Run(t, func(t *testing.T) {
 				c := newCluster(t, 8, seed)
-				slow(c, normalDelay)
+				setAPIDelay(c, normalDelay)
 				if cut {
 					c.nodes[3].fault.SetFault(apitest.Down)
 				}
@@ -80,7 +80,7 @@
 				began := time.Now()
 				version := c.put(definitionWith(77))
 				for _, n := range c.nodes {
-					for n.life.daemon.Config().AsOf() < version {
+					for n.instance.daemon.Config().AsOf() < version {
 						<-time.After(time.Millisecond)
 					}
 				}
@@ -102,12 +102,12 @@
 
 // TestMeasureObjectAPI prints object API calls per daemon and second: idle, under load and in a takeover.
 func TestMeasureObjectAPI(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	const span, loadSpan = 60 * time.Second, 20 * time.Second
 	for _, daemons := range []int{4, 8, 16, 32} {
 		testbubble.Run(t, func(t *testing.T) {
 			c := newCluster(t, daemons, 1)
-			slow(c, normalDelay)
+			setAPIDelay(c, normalDelay)
 			<-time.After(20 * time.Second)
 			reads, writes := c.apiCalls()
 			<-time.After(span)
@@ -124,7 +124,7 @@
 	for _, rate := range []int{1, 5, 10} {
 		testbubble.Run(t, func(t *testing.T) {
 			c := newCluster(t, 8, 1)
-			slow(c, normalDelay)
+			setAPIDelay(c, normalDelay)
 			<-time.After(20 * time.Second)
 			reads, writes := c.apiCalls()
 			calls := loadFor(c, rate*len(c.nodes), loadSpan)
@@ -163,11 +163,11 @@
 
 // TestMeasureDurability prints what the journal adds to a call when the object API takes 50 ms.
 func TestMeasureDurability(t *testing.T) {
-	measuring(t)
+	skipUnlessMeasuring(t)
 	for _, rate := range []int{1, 50, 500} {
 		testbubble.Run(t, func(t *testing.T) {
 			c := newCluster(t, 1, 1)
-			slow(c, 50*time.Millisecond)
+			setAPIDelay(c, 50*time.Millisecond)
 			var times []time.Duration
 			results := make(chan time.Duration)
 			caller := c.client(c.nodes[0])
--- a/internal/testing/faultmatrix/outage_test.go
+++ b/internal/testing/faultmatrix/outage_test.go
@@ -17,14 +17,14 @@
 func TestOutageOfAnHour(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
-		slow(c, normalDelay)
+		setAPIDelay(c, normalDelay)
 		a := newAgent(c, c.nodes[0])
 		id, err := a.start("key", 0)
 		assert.NilError(t, err)
 		_, err = a.call(modelCall(id, 1))
 		assert.NilError(t, err)
 		owner := c.ownerOf(id)
-		undo := api(apitest.Down, c.nodes...)
+		undo := setAPIFault(apitest.Down, c.nodes...)
 		ctx, cancel := context.WithTimeout(t.Context(), attemptTimeout)
 		_, err = a.client.Call(ctx, modelCall(id, 2), nil)
 		cancel()
--- a/internal/testing/faultmatrix/rows_test.go
+++ b/internal/testing/faultmatrix/rows_test.go
@@ -9,8 +9,8 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// row is a row of the matrix: what is under way when the fault strikes.
-type row struct {
+// scenario is a scenario of the matrix: what is under way when the fault strikes.
+type scenario struct {
 	name string
 	// step is the number of the agent's step at whose begin the fault is set off.
 	step int
@@ -20,79 +20,79 @@
 	drive func(c *cluster, a *agent) []violation
 }
 
-var rows = []row{
-	{name: "start", step: 0, drive: program},
-	{name: "model call", step: 1, drive: program},
-	{name: "tool call", step: 2, drive: program},
-	{name: "sub-agent", step: 3, drive: program},
-	{name: "sub-agent's model call", step: 4, drive: program},
-	{name: "second tool call", step: 5, drive: program},
-	{name: "last model call", step: 6, drive: program},
-	{name: "end", step: 7, drive: program},
-	{name: "takeover", step: 2, drive: takeover, kills: true},
-	{name: "hand-over", step: 2, drive: handOver},
-	{name: "plain post", step: 0, drive: posts},
+var scenarios = []scenario{
+	{name: "start", step: 0, drive: runProgram},
+	{name: "model call", step: 1, drive: runProgram},
+	{name: "tool call", step: 2, drive: runProgram},
+	{name: "sub-agent", step: 3, drive: runProgram},
+	{name: "sub-agent's model call", step: 4, drive: runProgram},
+	{name: "second tool call", step: 5, drive: runProgram},
+	{name: "last model call", step: 6, drive: runProgram},
+	{name: "end", step: 7, drive: runProgram},
+	{name: "takeover", step: 2, drive: runTakeover, kills: true},
+	{name: "hand-over", step: 2, drive: runHandOver},
+	{name: "plain post", step: 0, drive: runPosts},
 	{name: "configuration change", step: 0, drive: configurationChange},
 	{name: "two operators", step: 0, drive: twoOperators},
 	{name: "backend drain", step: 1, drive: backendDrain},
 }
 
-// program runs the script; it must finish.
-func program(_ *cluster, a *agent) []violation { return finished(a.script("key")) }
+// runProgram runs the script; it must finish.
+func runProgram(_ *cluster, a *agent) []violation { return checkFinished(a.script("key")) }
 
-func finished(err error) []violation {
+func checkFinished(err error) []violation {
 	if err == nil {
 		return nil
 	}
-	return []violation{{answerWhole, "the program did not finish: " + err.Error()}}
+	return []violation{{answerComplete, "the program did not finish: " + err.Error()}}
 }
 
-// takeover runs the script while the program's owner is dead, so that the fault strikes its successor.
-func takeover(c *cluster, a *agent) []violation {
-	strike := a.before
-	a.before = func(step int) {
+// runTakeover runs the script while the program's owner is dead, so that the fault strikes its successor.
+func runTakeover(c *cluster, a *agent) []violation {
+	inject := a.beforeStep
+	a.beforeStep = func(step int) {
 		if step == 2 {
-			c.killOwner(a, "key")
+			c.killAndRestartOwner(a, "key")
 			<-time.After(1500 * time.Millisecond)
 		}
-		strike(step)
+		inject(step)
 	}
-	return finished(a.script("key"))
+	return checkFinished(a.script("key"))
 }
 
-// killOwner kills a program's owner and boots it again soon.
-func (c *cluster) killOwner(a *agent, key string) {
+// killAndRestartOwner kills a program's owner and boots it again soon.
+func (c *cluster) killAndRestartOwner(a *agent, key string) {
 	owner := c.ownerOf(a.history.started[key])
 	if owner == nil {
 		return
 	}
 	c.kill(owner)
 	if a.entry == owner {
-		a.elsewhere()
+		a.switchNode()
 	}
 	time.AfterFunc(5*time.Second, func() {
 		if !owner.alive() {
-			c.boot(owner)
+			c.start(owner)
 		}
 	})
 }
 
-// handOver runs the script while the program's owner stops as planned.
-func handOver(c *cluster, a *agent) []violation {
-	strike := a.before
-	a.before = func(step int) {
+// runHandOver runs the script while the program's owner stops as planned.
+func runHandOver(c *cluster, a *agent) []violation {
+	strike := a.beforeStep
+	a.beforeStep = func(step int) {
 		if step == 2 {
 			if owner := c.ownerOf(a.history.started["key"]); owner != nil {
-				owner.life.daemon.Drain()
+				owner.instance.daemon.Drain()
 			}
 		}
 		strike(step)
 	}
-	return finished(a.script("key"))
+	return checkFinished(a.script("key"))
 }
 
-// posts sends plain requests that must not be repeated, one after the other.
-func posts(c *cluster, a *agent) []violation {
+// runPosts sends plain requests that must not be repeated, one after the other.
+func runPosts(c *cluster, a *agent) []violation {
 	k := &checker{c: c}
 	for i := range 4 {
 		request := &rookpassv1.SendRequest{
@@ -116,13 +116,13 @@
 		}
 		switch {
 		case ran > 1:
-			k.violated(atMostOnce, "%s ran %d times", request.RequestId, ran)
+			k.addViolation(atMostOnce, "%s ran %d times", request.RequestId, ran)
 		case err == nil && ran == 0:
-			k.violated(answerWhole, "%s was answered but never ran", request.RequestId)
-		case last != nil && notRun(last) && ran > 0:
-			k.violated(notRunTrue, "%s ran, though refused: %v", request.RequestId, last)
-		case err != nil && notRun(err):
-			k.violated(answerWhole, "%s was given up: %v", request.RequestId, err)
+			k.addViolation(answerComplete, "%s was answered but never ran", request.RequestId)
+		case last != nil && isNotRun(last) && ran > 0:
+			k.addViolation(refusalTrue, "%s ran, though refused: %v", request.RequestId, last)
+		case err != nil && isNotRun(err):
+			k.addViolation(answerComplete, "%s was given up: %v", request.RequestId, err)
 		}
 	}
 	return k.violations
@@ -139,25 +139,25 @@
 	}
 }
 
-// outage is the longest time for which the faults keep the object API away; what is accepted before must be in
+// longestOutage is the longest time for which the faults keep the object API away; what is accepted before must be in
 // force that long after at the latest.
-const outage = 20 * time.Second
+const longestOutage = 20 * time.Second
 
 // configurationChange has an operator change a definition, and follows the change to every daemon.
 func configurationChange(c *cluster, a *agent) []violation {
 	k := &checker{c: c}
 	version, err := a.change(c, 77)
 	if err != nil {
-		return []violation{{configRises, "change was not accepted: " + err.Error()}}
+		return []violation{{configMonotonic, "change was not accepted: " + err.Error()}}
 	}
-	<-time.After(outage + inForceWithin)
+	<-time.After(longestOutage + configTimeout)
 	for _, n := range c.nodes {
 		if !n.alive() {
 			continue
 		}
-		view := n.life.daemon.Config().View()
-		if n.life.daemon.Config().AsOf() < version || view.Definitions["agent"].MaxTurns != 77 {
-			k.violated(configRises, "%s does not have version %d in force", n.name, version)
+		view := n.instance.daemon.Config().View()
+		if n.instance.daemon.Config().AsOf() < version || view.Definitions["agent"].MaxTurns != 77 {
+			k.addViolation(configMonotonic, "%s does not have version %d in force", n.name, version)
 		}
 	}
 	return k.violations
@@ -196,14 +196,14 @@
 	key, _ := definitionKey()
 	current, err := c.store.Get(context.Background(), key)
 	if err != nil {
-		return []violation{{configRises, err.Error()}}
+		return []violation{{configMonotonic, err.Error()}}
 	}
 	accepted := make(chan int64, 2)
-	a.before(0)
+	a.beforeStep(0)
 	a.steps++
 	for i, n := range c.nodes[:2] {
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 			defer cancel()
 			operator := c.operator(n)
 			_, err := operator.Operator.Put(operator.Context(ctx), &rookpassv1.PutRequest{
@@ -218,46 +218,46 @@
 	}
 	first, second := <-accepted, <-accepted
 	if first != 0 && second != 0 {
-		k.violated(configRises, "two operators' changes of one version were both accepted")
+		k.addViolation(configMonotonic, "two operators' changes of one version were both accepted")
 	}
-	<-time.After(outage + inForceWithin)
+	<-time.After(longestOutage + configTimeout)
 	for _, n := range c.nodes {
 		if !n.alive() || first+second == 0 {
 			continue
 		}
-		if got := n.life.daemon.Config().View().Definitions["agent"].MaxTurns; got != first+second {
-			k.violated(configRises, "%s has %d in force, accepted was %d", n.name, got, first+second)
+		if got := n.instance.daemon.Config().View().Definitions["agent"].MaxTurns; got != first+second {
+			k.addViolation(configMonotonic, "%s has %d in force, accepted was %d", n.name, got, first+second)
 		}
 	}
 	return k.violations
 }
 
-// leaveWithin is how soon a leaving backend server must get no new work.
-const leaveWithin = 5 * time.Second
+// drainTimeout is how soon a leaving backend server must get no new work.
+const drainTimeout = 5 * time.Second
 
 // backendDrain takes an engine out of service under load and looks for work that it got later.
 func backendDrain(c *cluster, a *agent) []violation {
 	k := &checker{c: c}
 	id, err := a.start("key", 0)
 	if err != nil {
-		return finished(err)
+		return checkFinished(err)
 	}
 	c.put(backendObject("engine-1", &rookpassv1.BackendServer{
 		Kind: rookpassv1.CallKind_CALL_KIND_MODEL, Address: fmt.Sprintf(engineAddress, 1), Serves: []string{"m"},
 		MaxConcurrency: 100, Draining: true,
 	}))
 	drained := time.Now()
-	for sequence := uint64(1); time.Since(drained) < 3*leaveWithin; sequence++ {
+	for sequence := uint64(1); time.Since(drained) < 3*drainTimeout; sequence++ {
 		if _, err := a.call(modelCall(id, sequence)); err != nil {
-			return append(k.violations, finished(err)...)
+			return append(k.violations, checkFinished(err)...)
 		}
 		<-time.After(500 * time.Millisecond)
 	}
 	for _, served := range c.engines[0].Served() {
 		// What a frozen daemon had sent arrives when it thaws; docs/PROOFS.md names this window.
 		inWindow := served.Admitted.Equal(c.fabric.LastThaw())
-		if late := served.Admitted.Sub(drained); late > leaveWithin && !inWindow {
-			k.violated(leavingLeft, "%s was admitted %v after the drain", served.RequestID, late)
+		if late := served.Admitted.Sub(drained); late > drainTimeout && !inWindow {
+			k.addViolation(drainingRespected, "%s was admitted %v after the drain", served.RequestID, late)
 		}
 	}
 	return k.violations
--- a/internal/testing/faultmatrix/smoke_test.go
+++ b/internal/testing/faultmatrix/smoke_test.go
@@ -39,7 +39,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, first.Final.Length, int64(32))
 		owner := c.ownerOf(program.Id)
-		caller = c.client(c.other(owner))
+		caller = c.client(c.nextAlive(owner))
 		began := time.Now()
 		c.kill(owner)
 		second, err := caller.CallUntil(ctx, call(2), nil)
