--- a/cmd/rookpass-measure/main.go
+++ b/cmd/rookpass-measure/main.go
@@ -76,7 +76,7 @@
 		return err
 	}
 	for i := range 2 {
-		if err := b.boot(i); err != nil {
+		if err := b.startDaemon(i); err != nil {
 			return err
 		}
 	}
@@ -84,10 +84,10 @@
 	if err := b.awaitReady(); err != nil {
 		return err
 	}
-	if err := b.path(); err != nil {
+	if err := b.measureLatency(); err != nil {
 		return err
 	}
-	return b.memory()
+	return b.measureMemory()
 }
 
 func (b *bench) configure(store objectapi.API) error {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (b *bench) boot(i int) error {
+func (b *bench) startDaemon(i int) error {
 	s := settings.Default()
 	s.Name, s.DataCentre, s.Plaintext = fmt.Sprintf("d%d", i), "dc", true
 	s.CallerAddress, s.HTTPAddress = b.address(2+4*i), b.address(3+4*i)
@@ -144,8 +144,8 @@
 	return fmt.Errorf("daemons are not ready: %v, %v", b.daemons[0].Ready(), b.daemons[1].Ready())
 }
 
-// start starts a program that the given daemon holds.
-func (b *bench) start(holder int, key string) (string, error) {
+// startProgram starts a program that the given daemon holds.
+func (b *bench) startProgram(owner int, key string) (string, error) {
 	for i := 0; ; i++ {
 		ctx := b.clients[0].Context(context.Background())
 		request := &rookpassv1.StartProgramRequest{Definition: "agent", IdempotencyKey: fmt.Sprintf("%s-%d", key, i)}
@@ -153,7 +153,7 @@
 		if err != nil {
 			return "", err
 		}
-		if b.daemons[holder].Holds(program.Id) {
+		if b.daemons[owner].Holds(program.Id) {
 			return program.Id, nil
 		}
 	}
@@ -167,96 +167,96 @@
 // callsPerProgram keeps histories short, so that the figures are about the path and not the prompt.
 const callsPerProgram = 20
 
-// path measures calls straight to the engine, through the program's owner, and through another daemon, in
+// measureLatency measures calls straight to the engine, through the program's owner, and through another daemon, in
 // turn, a block of calls at a time.
-func (b *bench) path() error {
-	ways := []*way{
+func (b *bench) measureLatency() error {
+	variants := []*variant{
 		{name: "straight to the engine", call: b.direct},
-		{name: "entry is the owner", through: &through{key: "own"}},
-		{name: "one forward hop", through: &through{holder: 1, key: "hop"}},
-		{name: "one forward hop, not waiting for the journal", through: &through{holder: 1, key: "loose"}, loose: true},
+		{name: "entry is the owner", path: &daemonPath{key: "own"}},
+		{name: "one forward hop", path: &daemonPath{owner: 1, key: "hop"}},
+		{name: "one forward hop, not waiting for the journal", path: &daemonPath{owner: 1, key: "loose"}, skipDurability: true},
 	}
 	for block := range b.Calls / callsPerProgram {
-		for _, w := range ways {
-			if err := b.block(w, block); err != nil {
+		for _, w := range variants {
+			if err := b.runBlock(w, block); err != nil {
 				return fmt.Errorf("%s: %w", w.name, err)
 			}
 		}
 	}
-	base := ways[0]
+	base := variants[0]
 	fmt.Println("| way | p50 | p99 | added p50 | added p99 | CPU per call | allocations per call |")
 	fmt.Println("|---|---|---|---|---|---|---|")
-	for _, w := range ways {
-		p50, p99 := w.at(50), w.at(99)
-		fmt.Printf("| %s | %v | %v | %v | %v | %v | %d |\n", w.name, p50, p99, p50-base.at(50), p99-base.at(99),
+	for _, w := range variants {
+		p50, p99 := w.percentile(50), w.percentile(99)
+		fmt.Printf("| %s | %v | %v | %v | %v | %v | %d |\n", w.name, p50, p99, p50-base.percentile(50), p99-base.percentile(99),
 			(w.cpu / time.Duration(b.Calls)).Round(time.Microsecond), w.mallocs/uint64(b.Calls))
 	}
 	fmt.Println("\nCPU and allocations are the whole process's during those calls: caller, daemons, engine and object API.")
 	return nil
 }
 
-// through is a way over daemons: the first is the entry, holder is the program's owner.
-type through struct {
-	holder  int
+// daemonPath is a way over daemons: the first is the entry, holder is the program's owner.
+type daemonPath struct {
+	owner   int
 	key     string
 	program string
 }
 
-// way is one way to make a call, with its figures.
-type way struct {
+// variant is one variant to make a call, with its figures.
+type variant struct {
 	name string
 	// call makes one call; without it the way is through daemons.
-	call    func(i int) error
-	through *through
-	// loose answers before the records are durable, to show the journal's share.
-	loose   bool
-	times   *hdrhistogram.Histogram
-	cpu     time.Duration
-	mallocs uint64
+	call func(i int) error
+	path *daemonPath
+	// skipDurability answers before the records are durable, to show the journal's share.
+	skipDurability bool
+	times          *hdrhistogram.Histogram
+	cpu            time.Duration
+	mallocs        uint64
 }
 
-// block makes some calls of one way. What prepares them is not measured.
-func (b *bench) block(w *way, block int) error {
-	if w.times == nil {
-		w.times = hdrhistogram.New(1000, highest, 3)
+// runBlock makes some calls of one way. What prepares them is not measured.
+func (b *bench) runBlock(v *variant, block int) error {
+	if v.times == nil {
+		v.times = hdrhistogram.New(1000, maxDuration, 3)
 	}
-	if t := w.through; t != nil {
-		program, err := b.start(t.holder, fmt.Sprintf("%s-%d", t.key, block))
+	if t := v.path; t != nil {
+		program, err := b.startProgram(t.owner, fmt.Sprintf("%s-%d", t.key, block))
 		if err != nil {
 			return err
 		}
 		t.program = program
 	}
-	if w.loose {
+	if v.skipDurability {
 		defer guard.Disable(guard.DurableAnswers)()
 	}
-	mallocs, cpu := mallocsNow(), cpuNow()
+	mallocs, cpu := mallocCount(), cpuTime()
 	for i := range callsPerProgram {
 		began := time.Now()
-		if err := b.once(w, block*callsPerProgram+i, uint64(i+1)); err != nil {
+		if err := b.callOnce(v, block*callsPerProgram+i, uint64(i+1)); err != nil {
 			return err
 		}
-		if err := w.times.RecordValue(int64(time.Since(began))); err != nil {
+		if err := v.times.RecordValue(int64(time.Since(began))); err != nil {
 			return err
 		}
 	}
-	w.cpu += cpuNow() - cpu
-	w.mallocs += mallocsNow() - mallocs
+	v.cpu += cpuTime() - cpu
+	v.mallocs += mallocCount() - mallocs
 	return nil
 }
 
-func (b *bench) once(w *way, i int, sequence uint64) error {
-	if w.through == nil {
+func (b *bench) callOnce(w *variant, i int, sequence uint64) error {
+	if w.path == nil {
 		return w.call(i)
 	}
-	_, err := b.clients[0].Call(context.Background(), modelCall(w.through.program, sequence), nil)
+	_, err := b.clients[0].Call(context.Background(), modelCall(w.path.program, sequence), nil)
 	return err
 }
 
-// highest is the largest time that the histograms hold, in nanoseconds.
-const highest = int64(10 * time.Second)
+// maxDuration is the largest time that the histograms hold, in nanoseconds.
+const maxDuration = int64(10 * time.Second)
 
-func (w *way) at(percentile float64) time.Duration {
+func (w *variant) percentile(percentile float64) time.Duration {
 	return time.Duration(w.times.ValueAtPercentile(percentile)).Round(time.Microsecond)
 }
 
@@ -266,9 +266,9 @@
 	return err
 }
 
-// memory measures what an idle program of one turn takes.
-func (b *bench) memory() error {
-	before := heap()
+// measureMemory measures what an idle program of one turn takes.
+func (b *bench) measureMemory() error {
+	before := heapBytes()
 	for i := range b.Programs {
 		ctx := b.clients[0].Context(context.Background())
 		request := &rookpassv1.StartProgramRequest{Definition: "agent", IdempotencyKey: fmt.Sprintf("idle-%d", i)}
@@ -277,11 +277,11 @@
 		}
 	}
 	fmt.Printf("\n| memory per idle program, with its journal records in the object API of this process | %d bytes |\n",
-		(heap()-before)/int64(b.Programs))
+		(heapBytes()-before)/int64(b.Programs))
 	return nil
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -289,13 +289,13 @@
 	return int64(stats.HeapAlloc)
 }
 
-func mallocsNow() uint64 {
+func mallocCount() uint64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.Mallocs
 }
 
-func cpuNow() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
