--- a/cmd/rookpass-soak/main.go
+++ b/cmd/rookpass-soak/main.go
@@ -43,7 +43,7 @@
 }
 
 func run(o options) (failed int, err error) {
-	plans, err := plans(o)
+	plans, err := loadPlans(o)
 	if err != nil {
 		return 0, err
 	}
@@ -67,7 +67,7 @@
 			fmt.Println("  broken:", text)
 		}
 		fmt.Println("  plan:", plan)
-		if err := keep(o.Keep, dir, plan); err != nil {
+		if err := keepLogs(o.Keep, dir, plan); err != nil {
 			return failed, err
 		}
 	}
@@ -75,7 +75,7 @@
 	return failed, nil
 }
 
-func plans(o options) ([]soak.Plan, error) {
+func loadPlans(o options) ([]soak.Plan, error) {
 	if o.Plan != "" {
 		data, err := os.ReadFile(o.Plan)
 		if err != nil {
@@ -96,8 +96,8 @@
 	return list, nil
 }
 
-// keep moves a failed run's folder to where logs are kept; without such a place it says where they lie.
-func keep(to, dir string, plan soak.Plan) error {
+// keepLogs moves a failed run's folder to where logs are kept; without such a place it says where they lie.
+func keepLogs(to, dir string, plan soak.Plan) error {
 	if to == "" {
 		fmt.Println("  logs:", dir)
 		return nil
