--- a/cmd/rookpass-plot/main.go
+++ b/cmd/rookpass-plot/main.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		for _, d := range r.Days {
-			days = append(days, day(r, d))
+			days = append(days, toPlotDay(r, d))
 		}
 	}
 	files, err := plots.Draw(opts.Out, days)
@@ -77,10 +77,10 @@
 	return loadlog.Write(os.Stdout, turns, step)
 }
 
-func day(r runlog.Run, d runlog.Day) plots.Day {
-	taken := make(map[string]float64, len(d.Deductions))
+func toPlotDay(r runlog.Run, d runlog.Day) plots.Day {
+	deductions := make(map[string]float64, len(d.Deductions))
 	for _, price := range d.Deductions {
-		taken[price.Name] += price.Amount
+		deductions[price.Name] += price.Amount
 	}
-	return plots.Day{At: r.At, Site: r.Site, Name: d.Name, Score: d.Score, VMs: d.VMs, Failed: d.Failed, Deductions: taken}
+	return plots.Day{At: r.At, Site: r.Site, Name: d.Name, Score: d.Score, VMs: d.VMs, Failed: d.Failed, Deductions: deductions}
 }
