--- a/deploy/days/draw/outages.go
+++ b/deploy/days/draw/outages.go
@@ -8,18 +8,18 @@
 
 // Times of a day of outages, in seconds.
 const (
-	// changeGap is the time between two changes of the configuration; those that fall into an outage are
+	// changeInterval is the time between two changes of the configuration; those that fall into an outage are
 	// acknowledged together at its end.
-	changeGap = 2.0
+	changeInterval = 2.0
 	// outageGap is the least time between the end of one outage and the start of the next.
 	outageGap = 5.0
 )
 
-// outageHows are the ways in which the platform's store goes away.
-var outageHows = []string{"silent", "busy", "reset", "silent lapse", "busy lapse", "reset lapse"}
+// outageVariants are the ways in which the platform's store goes away.
+var outageVariants = []string{"silent", "busy", "reset", "silent lapse", "busy lapse", "reset lapse"}
 
-// killedMeanwhile are what ends daemons during an outage.
-var killedMeanwhile = []string{
+// killEvents are what ends daemons during an outage.
+var killEvents = []string{
 	`kind = "node_kill", share = 0.4, for_s = 1.0`,
 	`kind = "node_kill", share = 0.6, for_s = 1.0`,
 	`kind = "herd_kill", share = 0.6`,
@@ -27,33 +27,33 @@
 	`kind = "herd_kill", on = "core"`,
 }
 
-// drawOutages returns a day on which the platform's store goes away again and again.
-func drawOutages(opts options) string {
+// generateOutageDay returns a day on which the platform's store goes away again and again.
+func generateOutageDay(opts options) string {
 	random := rand.New(rand.NewPCG(opts.Seed, 1))
 	var plans, faults []string
-	for at := changeGap; at < opts.Seconds+outageGap; at += changeGap {
+	for at := changeInterval; at < opts.Seconds+outageGap; at += changeInterval {
 		how := []string{"timeout", "idle", "route"}[random.IntN(3)]
 		plans = append(plans, fmt.Sprintf(`at = %.1f, kind = "config_change", how = %q`, at, how))
 	}
 	for at := 3 + 3*random.Float64(); at < opts.Seconds-outageGap; at += outageGap {
 		length := 3 + 6*random.Float64()
-		how := outageHows[random.IntN(len(outageHows))]
+		how := outageVariants[random.IntN(len(outageVariants))]
 		faults = append(faults, fmt.Sprintf(`at = %.1f, kind = "platform_down", for_s = %.1f, how = %q`, at, length, how))
 		for range 1 + random.IntN(2) {
-			kill := killedMeanwhile[random.IntN(len(killedMeanwhile))]
+			kill := killEvents[random.IntN(len(killEvents))]
 			faults = append(faults, fmt.Sprintf("at = %.1f, %s", at+length*random.Float64(), kill))
 		}
 		at += length
 		plans = append(plans, fmt.Sprintf(`at = %.1f, kind = "scale_in", share = 0.06`, at+0.1+3*random.Float64()))
 	}
 	day := fmt.Sprintf("[[day]]\nname = \"outages-%d\"\nseed = %d\nplan = [\n%s]\nfaults = [\n%s]\n",
-		opts.Seed, opts.Seed, entries(plans), entries(faults))
-	// Drawn apart, so that a seed's outages stay the same whatever ends there are.
-	ends := rand.New(rand.NewPCG(opts.Seed, 2))
-	return day + closing(ends)
+		opts.Seed, opts.Seed, joinEvents(plans), joinEvents(faults))
+	// Drawn apart, so that a seed's outages stay the same whatever closingRandom there are.
+	closingRandom := rand.New(rand.NewPCG(opts.Seed, 2))
+	return day + randomClosing(closingRandom)
 }
 
-func entries(bodies []string) string {
+func joinEvents(bodies []string) string {
 	var b strings.Builder
 	for _, body := range bodies {
 		b.WriteString("  { " + body + " },\n")
