--- a/internal/base/atomicfile/atomicfile.go
+++ b/internal/base/atomicfile/atomicfile.go
@@ -1,4 +1,4 @@
-// Package atomicfile replaces files in one step that a loss of power can't tear.
+// Package atomicfile replaces files atomically and durably.
 package atomicfile
 
 import (
@@ -7,12 +7,12 @@
 	"path/filepath"
 )
 
-// ownerOnly lets nobody else read a file: what rookpass keeps holds callers' words and keys.
+// ownerOnly is the mode of the files: they hold callers' prompts and keys, so only their owner may read them.
 const ownerOnly = 0o600
 
-// Write replaces the file at path, which only its owner may read. Once it returns nil, the new content outlives a loss of power.
+// Write replaces the file at path, readable by its owner only. When it returns nil, the new content is synced to disk.
 func Write(path string, data []byte) error {
-	// A file that was left by a crash may be open to others.
+	// A file left by an interrupted write may have wider permissions.
 	if err := os.Remove(path + ".new"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -30,7 +30,7 @@
 	return SyncDir(filepath.Dir(path))
 }
 
-// SyncDir makes the names in a folder last.
+// SyncDir syncs a directory, so that files created or renamed in it survive a power loss.
 func SyncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
--- a/internal/base/atomicfile/atomicfile_test.go
+++ b/internal/base/atomicfile/atomicfile_test.go
@@ -10,7 +10,7 @@
 	"github.com/rookpass/rookpass/internal/base/atomicfile"
 )
 
-func TestReplaces(t *testing.T) {
+func TestWriteReplacesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	for _, text := range []string{"a longer first text", "second"} {
 		assert.NilError(t, atomicfile.Write(path, []byte(text)))
@@ -22,8 +22,8 @@
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// TestOnlyTheOwnerReads: also where an earlier writing was cut off and left its file.
-func TestOnlyTheOwnerReads(t *testing.T) {
+// TestOwnerOnlyPermissions: also if an interrupted write left a temporary file with wider permissions.
+func TestOwnerOnlyPermissions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	assert.NilError(t, os.WriteFile(path+".new", []byte("left by a crash"), 0o644))
 	assert.NilError(t, atomicfile.Write(path, []byte("secret")))
--- a/internal/base/eventlog/eventlog.go
+++ b/internal/base/eventlog/eventlog.go
@@ -1,5 +1,5 @@
-// Package eventlog writes log lines without ever keeping the writer waiting: what does not fit is dropped and
-// counted.
+// Package eventlog writes log lines asynchronously and never blocks the caller: lines beyond the queue size or the rate
+// limit are dropped and counted.
 package eventlog
 
 import (
@@ -12,18 +12,17 @@
 )
 
 const (
-	// queueBytes is what may wait for a slow reader: some seconds of lines at the usual rate.
+	// queueBytes bounds the lines that wait for a slow reader.
 	queueBytes = 256 << 10
-	// bytesPerSecond bounds what is written under load; the rest is dropped. Twice a busy VM's usual rate.
+	// bytesPerSecond limits the rate of accepted lines, and is also the burst size; further lines are dropped.
 	bytesPerSecond = 256 << 10
-	// flushPause gathers lines, so that a write carries several.
+	// flushPause delays each flush, so that one write carries several lines.
 	flushPause = 50 * time.Millisecond
-	// writeBytes bounds one write: a pipe takes up to 4,096 bytes whole or not at all. Of longer writes, as when 25 servers
-	// come back together, a reader kept the first 8 KiB and lost the lines behind them.
+	// writeBytes bounds one write: writes of up to 4,096 bytes (PIPE_BUF) to a pipe are atomic.
 	writeBytes = 4096
 )
 
-// Writer is an io.Writer whose Write never blocks. Use New.
+// Writer is an io.Writer whose Write never blocks. Use New to create one.
 type Writer struct {
 	out io.Writer
 
@@ -38,7 +37,7 @@
 	dropped  atomic.Int64
 }
 
-// New returns a writer to out.
+// New returns a Writer to out and starts its goroutine, which Close ends.
 func New(out io.Writer) *Writer {
 	w := &Writer{out: out, tokens: bytesPerSecond, refilled: time.Now(), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
@@ -48,7 +47,7 @@
 // Dropped returns how many lines were dropped.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Write queues one line or drops it.
+// Write queues one line, or drops it if the queue is full, the rate is exceeded or the writer is closed. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,7 +87,7 @@
 	}
 }
 
-// Close writes what is queued.
+// Close writes the queued lines and ends the writer's goroutine.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -105,20 +104,20 @@
 	w.queue = nil
 }
 
-// writeOut writes whole lines, as many at a time as a pipe takes at once.
+// writeOut writes whole lines in chunks of at most writeBytes; a longer line is written alone.
 func (w *Writer) writeOut(lines []byte) {
 	for len(lines) > 0 {
 		end := len(lines)
 		if end > writeBytes {
 			end = bytes.LastIndexByte(lines[:writeBytes], '\n') + 1
 		}
-		if end == 0 { // the first line alone is longer
+		if end == 0 { // the first line is longer than writeBytes
 			end = bytes.IndexByte(lines, '\n') + 1
 		}
 		if end == 0 {
 			end = len(lines)
 		}
-		_, _ = w.out.Write(lines[:end]) // there is nowhere else to report it
+		_, _ = w.out.Write(lines[:end]) // a failure of the log itself can't be logged
 		lines = lines[end:]
 	}
 }
--- a/internal/base/eventlog/eventlog_test.go
+++ b/internal/base/eventlog/eventlog_test.go
@@ -14,7 +14,7 @@
 	"github.com/rookpass/rookpass/internal/base/eventlog"
 )
 
-// sink collects what is written; while blocked, Write waits.
+// sink collects what is written. If blocked is set, Write waits until it is closed.
 type sink struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -36,7 +36,7 @@
 	return s.text.String()
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &sink{}
 		w := eventlog.New(out)
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestBlockedReaderKeepsNobodyWaiting: lines that do not fit are dropped, counted, and told later.
-func TestBlockedReaderKeepsNobodyWaiting(t *testing.T) {
+// TestWriteDoesNotBlock: with a blocked reader, lines beyond the queue are dropped, counted and reported later.
+func TestWriteDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &sink{blocked: make(chan struct{})}
 		w := eventlog.New(out)
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestRateIsBounded(t *testing.T) {
+func TestRateIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &sink{}
 		w := eventlog.New(out)
@@ -88,7 +88,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		w.Close()
-		assert.Assert(t, len(out.String()) < 600<<10, "%d bytes within a second", len(out.String()))
+		assert.Assert(t, len(out.String()) < 600<<10, "%d bytes written within a second", len(out.String()))
 		assert.Assert(t, w.Dropped() > 0)
 	})
 }
@@ -101,7 +101,7 @@
 	return len(data), nil
 }
 
-// TestBurstIsWrittenInWholeLines: as many at a time as a pipe takes at once; a longer line goes alone.
+// TestBurstIsWrittenInWholeLines: each write holds whole lines of at most 4,096 bytes in total, or one longer line.
 func TestBurstIsWrittenInWholeLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &pieces{}
@@ -117,7 +117,7 @@
 		w.Close()
 		assert.Equal(t, strings.Join(out.writes, ""), want)
 		for i, write := range out.writes {
-			assert.Assert(t, strings.HasSuffix(write, "\n"), "write %d ends within a line", i)
+			assert.Assert(t, strings.HasSuffix(write, "\n"), "write %d does not end with a newline", i)
 			assert.Assert(t, len(write) <= 4096 || write == long, "write %d has %d bytes", i, len(write))
 		}
 	})
