--- a/internal/base/guard/guard.go
+++ b/internal/base/guard/guard.go
@@ -1,33 +1,33 @@
-// Package guard lets tests switch single protections off, to show that the checks of the fault matrix notice.
-// Nothing but tests and measurements calls Off; in a daemon every guard is on.
+// Package guard holds switches for single protections. Tests disable one to prove that the checks of the fault matrix
+// detect its absence. Only tests and benchmarks call Disable; in a daemon every guard is enabled.
 package guard
 
 import "sync/atomic"
 
-// Guard is one protection.
+// Guard is a bit mask of protections.
 type Guard uint32
 
-// The guards.
+// The guards, one bit each.
 const (
-	// SequenceCheck refuses a call whose sequence is not the program's next.
+	// SequenceCheck rejects a call whose sequence number is not the program's next.
 	SequenceCheck Guard = 1 << iota
-	// Seal ends a dead daemon's log before its partitions are taken.
+	// Seal seals a dead daemon's log before its partitions are taken over.
 	Seal
-	// Budget refuses a call whose worst case is not left in the budget.
+	// Budget rejects a call whose worst-case cost exceeds the remaining budget.
 	Budget
 	// CacheRelease makes engines drop the cache of ended programs.
 	CacheRelease
-	// DurableAnswers holds a final answer back until its record is durable.
+	// DurableAnswers delays a final answer until its record is durable.
 	DurableAnswers
-	// UncertainVerdict calls a request that may have left "may have run".
+	// UncertainVerdict reports "may have run" for a failed request that may have been sent.
 	UncertainVerdict
-	// IntentRecord makes a call that must not be repeated durable before it leaves.
+	// IntentRecord makes a record of a non-idempotent call durable before the call is sent.
 	IntentRecord
-	// Draining keeps new work from a backend server that is leaving.
+	// Draining keeps new calls from a draining backend server.
 	Draining
-	// GracefulStop lets calls under way finish in a planned stop.
+	// GracefulStop lets calls in progress finish in a planned stop.
 	GracefulStop
-	// CompleteStream takes a stream that ends early for a broken call, not for an answer.
+	// CompleteStream treats a stream that ends early as a failed call, not as a complete answer.
 	CompleteStream
 	// MonotonicConfig keeps an older configuration from replacing a newer one.
 	MonotonicConfig
@@ -35,10 +35,10 @@
 
 var off atomic.Uint32
 
-// Enabled tells whether a guard protects.
+// Enabled reports whether g is enabled.
 func Enabled(g Guard) bool { return off.Load()&uint32(g) == 0 }
 
-// Disable switches guards off until the returned function is called.
+// Disable disables guards until restore is called.
 func Disable(g Guard) (restore func()) {
 	old := off.Load()
 	off.Store(old | uint32(g))
--- a/internal/base/incarnation/incarnation.go
+++ b/internal/base/incarnation/incarnation.go
@@ -1,20 +1,19 @@
-// Package incarnation names single starts of backend servers.
+// Package incarnation identifies single starts (incarnations) of backend servers.
 package incarnation
 
 import "strconv"
 
-// ID names one start of a backend server. A server may start again under the name that it had; it then holds and
-// knows nothing of before, so what was learnt of one start must never count for another. IDs are comparable: they are
-// the keys of whatever is kept about a server.
+// ID identifies one start of a backend server. A server that restarts under its old name has lost its state, so what
+// is known about one start must not be applied to another. IDs are comparable and serve as keys of per-server state.
 type ID struct {
-	// Server is the server's name, which all its starts share.
+	// Server is the server's name, which is the same for all its starts.
 	Server string
-	// Born tells the starts of one server apart: the server's word of when it started, in milliseconds of Unix time; 0
-	// where it does not say. It is only ever compared for equality, with that of the same server: clocks differ.
+	// Born distinguishes the starts of one server: its start time as the server reports it, in milliseconds of Unix
+	// time, or 0 if unknown. Compare it only for equality, and only for the same server: clocks differ.
 	Born int64
 }
 
-// String returns the name for logs: the server, and its start where that is known.
+// String returns the ID as it is logged: the server's name, followed by @ and Born if that is known.
 func (i ID) String() string {
 	if i.Born == 0 {
 		return i.Server
@@ -22,8 +21,8 @@
 	return i.Server + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// MarshalText implements encoding.TextMarshaler, so that pages show the name as logs do.
+// MarshalText implements encoding.TextMarshaler, so that JSON has IDs as logs do.
 func (i ID) MarshalText() ([]byte, error) { return []byte(i.String()), nil }
 
-// IsZero tells that no server is named.
+// IsZero reports whether i names no server.
 func (i ID) IsZero() bool { return i == ID{} }
--- a/internal/base/metrics/metrics.go
+++ b/internal/base/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics keeps counters and latency histograms and serves them as text.
+// Package metrics keeps counters, gauges and latency histograms and serves them in the Prometheus text format.
 package metrics
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// bounds are the histogram's upper bounds: from a call within a data centre to a caller's longest wait.
+// bounds are the upper bounds of the histogram buckets.
 var bounds = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
@@ -19,13 +19,14 @@
 
 type key struct{ name, label string }
 
+// histogram is a latency histogram. counts are per bucket, not cumulative; count includes values above all bounds.
 type histogram struct {
 	counts []int64
 	count  int64
 	sum    time.Duration
 }
 
-// Registry holds a process's figures. Use New.
+// Registry holds the metrics of a process. Use New to create one.
 type Registry struct {
 	mu         sync.Mutex
 	counters   map[key]int64
@@ -38,14 +39,14 @@
 	return &Registry{counters: map[key]int64{}, histograms: map[key]*histogram{}, gauges: map[string]func() float64{}}
 }
 
-// Count adds one to a counter.
+// Count increments a counter. label is the value of its outcome label.
 func (r *Registry) Count(name, label string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.counters[key{name, label}]++
 }
 
-// Observe adds a time to a histogram.
+// Observe adds a duration to a histogram. label is the value of its outcome label.
 func (r *Registry) Observe(name, label string, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,14 +62,14 @@
 	}
 }
 
-// Gauge registers a figure that is read when the page is.
+// Gauge registers a gauge, whose value read returns whenever the metrics are served.
 func (r *Registry) Gauge(name string, read func() float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gauges[name] = read
 }
 
-// ServeHTTP writes every figure as a line: name, label in braces, value.
+// ServeHTTP writes all metrics, sorted by line.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	lines := r.lines()
 	slices.Sort(lines)
@@ -77,7 +78,7 @@
 		page.WriteString(line)
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	_, _ = w.Write(page.Bytes()) // the reader may have left
+	_, _ = w.Write(page.Bytes()) // the client may have disconnected
 }
 
 func (r *Registry) lines() []string {
--- a/internal/base/metrics/metrics_test.go
+++ b/internal/base/metrics/metrics_test.go
@@ -11,7 +11,7 @@
 	"github.com/rookpass/rookpass/internal/base/metrics"
 )
 
-func TestPage(t *testing.T) {
+func TestServeHTTP(t *testing.T) {
 	r := metrics.New()
 	r.Count("rookpass_attempts_total", "200")
 	r.Count("rookpass_attempts_total", "200")
--- a/internal/base/place/place.go
+++ b/internal/base/place/place.go
@@ -1,27 +1,27 @@
-// Package place tells how far data centres are from one another, as far as the settings say.
+// Package place derives the distance between data centres from the configured regions.
 package place
 
-// Distance is how far away a data centre is.
+// Distance is a class of network distance to a data centre. Lower values are nearer.
 type Distance int
 
-// The distances, the nearest first.
+// The distances, nearest first.
 const (
-	// SameDataCentre is the same data centre.
+	// SameDataCentre is the daemon's own data centre.
 	SameDataCentre Distance = iota
-	// SameRegion is another data centre of the same region, a few milliseconds away.
+	// SameRegion is another data centre of the same region, or one whose region is unknown.
 	SameRegion
-	// OtherRegion is another region: the way is long, and its links are shared by all traffic between the two.
+	// OtherRegion is a data centre of another region, behind links with high latency and shared capacity.
 	OtherRegion
 )
 
-// Topology is what a daemon knows of places. The zero value knows of one region alone.
+// Topology holds a daemon's own data centre and the regions of data centres. The zero value has a single region.
 type Topology struct {
-	// DataCentre is the daemon's own, Regions the region of each data centre.
+	// DataCentre is the daemon's own data centre, Regions the region of each data centre by name.
 	DataCentre string
 	Regions    map[string]string
 }
 
-// DistanceTo returns how far a data centre is. One whose region is not known counts as one of this region.
+// DistanceTo returns the distance to a data centre. If either region is unknown, both count as the same region.
 func (t Topology) DistanceTo(dataCentre string) Distance {
 	if dataCentre == t.DataCentre {
 		return SameDataCentre
