--- a/internal/base/telemetry/telemetry.go
+++ b/internal/base/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up logs and traces.
+// Package telemetry sets up logging and tracing.
 package telemetry
 
 import (
@@ -21,11 +21,11 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("telemetry")
 
-// flushTimeout bounds how long a stopping daemon waits for its last spans.
+// flushTimeout bounds the export of the remaining spans when tracing is closed.
 const flushTimeout = 2 * time.Second
 
-// NewLog returns a log that writes one line of key=value pairs for each event. Every line names its event in
-// the key "event".
+// NewLog returns a logger that writes one line of key=value pairs per event to out. Callers name the event in the field
+// "event". It returns an error if level is unknown.
 func NewLog(out io.Writer, level, daemon string) (logrus.FieldLogger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -40,13 +40,13 @@
 	return log.WithField("daemon", daemon), nil
 }
 
-// Tracing is where spans go. Close it to write the last ones.
+// Tracing exports spans. Close exports the remaining ones. The zero value records nothing.
 type Tracing struct {
 	provider *sdktrace.TracerProvider
 	file     *os.File
 }
 
-// NewTracing returns tracing to a file of JSON lines and to an OTLP collector; either may be empty.
+// NewTracing returns tracing to a JSON file and to an OTLP collector. Either may be empty, which disables it.
 func NewTracing(ctx context.Context, file, otlpAddress, daemon, dataCentre string) (*Tracing, error) {
 	t := &Tracing{}
 	var options []sdktrace.TracerProviderOption
@@ -80,7 +80,7 @@
 	return t, nil
 }
 
-// Provider returns the provider for libraries; without an exporter it records nothing.
+// Provider returns the tracer provider for libraries. Without an exporter it records nothing.
 func (t *Tracing) Provider() trace.TracerProvider {
 	if t.provider == nil {
 		return noop.NewTracerProvider()
@@ -88,10 +88,10 @@
 	return t.provider
 }
 
-// Tracer returns the tracer of rookpass's own spans.
+// Tracer returns the tracer for rookpass's own spans.
 func (t *Tracing) Tracer() trace.Tracer { return t.Provider().Tracer("rookpass") }
 
-// Close writes the last spans.
+// Close exports the remaining spans and closes the trace file.
 func (t *Tracing) Close() error {
 	var group errs.Group
 	if t.provider != nil {
--- a/internal/base/tlsfiles/issue.go
+++ b/internal/base/tlsfiles/issue.go
@@ -14,14 +14,14 @@
 	"time"
 )
 
-// certificateValidity of the certificates that Issue makes.
+// certificateValidity is the lifetime of issued certificates.
 const certificateValidity = 30 * 24 * time.Hour
 
 // serialBits is the size of a certificate's random serial number.
 const serialBits = 120
 
-// IssueDevelopment makes a development authority and a certificate for each name in a folder: ca.pem, NAME.pem and
-// NAME-key.pem. The certificates are for the given addresses. An authority that is there already is replaced.
+// IssueDevelopment creates a development CA and a certificate for each name in a folder: ca.pem, ca-key.pem, NAME.pem
+// and NAME-key.pem. The certificates are valid for the given IP addresses. Existing files are replaced.
 func IssueDevelopment(dir string, names []string, addresses []net.IP) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return Error.Wrap(err)
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// writePair signs a certificate and writes it and its key.
+// writePair signs a certificate and writes it and its key to NAME.pem and NAME-key.pem.
 func writePair(dir, name string, certificate, authority *x509.Certificate, key, authorityKey *ecdsa.PrivateKey) error {
 	signed, err := x509.CreateCertificate(rand.Reader, certificate, authority, &key.PublicKey, authorityKey)
 	if err != nil {
--- a/internal/base/tlsfiles/tlsfiles.go
+++ b/internal/base/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles makes TLS configurations from PEM files and reads them again when they change, so that
-// keys are rotated without a restart.
+// Package tlsfiles makes TLS configurations from PEM files and reloads the files when they change, so that keys can be
+// rotated without a restart.
 package tlsfiles
 
 import (
@@ -15,10 +15,10 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("tls")
 
-// recheckInterval is how often the files' times are looked at, at most.
+// recheckInterval is the minimum time between two checks of the files' modification times.
 const recheckInterval = time.Second
 
-// Files is a set of PEM files. Use New.
+// Files is a set of PEM files. Use New to load one.
 type Files struct {
 	ca, certificate, key string
 
@@ -29,7 +29,7 @@
 	pair      *tls.Certificate
 }
 
-// New reads the files and returns an error if they do not fit together.
+// New loads the files. It returns an error if one can't be read or parsed, or the key does not match the certificate.
 func New(ca, certificate, key string) (*Files, error) {
 	f := &Files{ca: ca, certificate: certificate, key: key}
 	f.mu.Lock()
@@ -37,8 +37,8 @@
 	return f, f.load()
 }
 
-// load reads the files again if one is newer than what is in use. Files that can't be read leave the former
-// ones in use.
+// load reads the files if one was modified since the last successful load. On an error, the files loaded before stay in
+// use. The caller holds mu.
 func (f *Files) load() error {
 	f.lastCheck = time.Now()
 	var newest time.Time
@@ -60,7 +60,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return Error.New("%s holds no certificate", f.ca)
+		return Error.New("%s contains no certificate", f.ca)
 	}
 	pair, err := tls.LoadX509KeyPair(f.certificate, f.key)
 	if err != nil {
@@ -70,17 +70,18 @@
 	return nil
 }
 
-// current returns the authority and certificate in use.
+// current returns the CA pool and the certificate, reloaded if necessary.
 func (f *Files) current() (*x509.CertPool, *tls.Certificate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if time.Since(f.lastCheck) > recheckInterval {
-		_ = f.load() // The former files stay in use; New has checked that there are some.
+		_ = f.load() // on an error the files loaded before stay in use; New has loaded some
 	}
 	return f.pool, f.pair
 }
 
-// Server returns the configuration for callers and operators, who prove themselves by secrets.
+// Server returns the configuration for listeners to callers and operators, who authenticate with secrets instead of
+// certificates.
 func (f *Files) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -91,8 +92,8 @@
 	}
 }
 
-// MutualServer returns the configuration for other daemons, which prove themselves by a certificate of the
-// same authority.
+// MutualServer returns the configuration for listeners to other daemons, which authenticate with a certificate of the
+// same CA.
 func (f *Files) MutualServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -109,8 +110,8 @@
 	}
 }
 
-// MutualClient returns the configuration for connections to other daemons. Their certificates carry their IP
-// addresses.
+// MutualClient returns the configuration for connections to other daemons, whose certificates must be valid for their
+// IP addresses.
 func (f *Files) MutualClient() *tls.Config {
 	pool, pair := f.current()
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, Certificates: []tls.Certificate{*pair}}
--- a/internal/base/verdict/verdict.go
+++ b/internal/base/verdict/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict says of a request whether it may have run, and carries that through errors.
+// Package verdict defines errors that carry whether the failed request may have run.
 package verdict
 
 import (
@@ -16,17 +16,17 @@
 	rookpassv1 "github.com/rookpass/rookpass/api/rookpass/v1"
 )
 
-// Verdict tells whether a request may have had an effect outside rookpass.
+// Verdict is whether a request had an effect outside rookpass.
 type Verdict int
 
-// The verdicts. The zero value is MayHaveRun, so that a forgotten verdict never promises too much.
+// The verdicts. The zero value is MayHaveRun, the one that promises nothing.
 const (
 	MayHaveRun Verdict = iota
 	NotRun
 	Ran
 )
 
-// String returns the verdict in words.
+// String returns the verdict in words, as used in error messages.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -38,7 +38,7 @@
 	}
 }
 
-// Proto returns the verdict as the schema has it.
+// Proto returns the verdict's protobuf enum value.
 func (v Verdict) Proto() rookpassv1.Verdict {
 	switch v {
 	case NotRun:
@@ -50,7 +50,7 @@
 	}
 }
 
-// FromProto returns the verdict of a message; one that is not set is MayHaveRun.
+// FromProto returns the verdict of a protobuf enum value. Unset and unknown values become MayHaveRun.
 func FromProto(v rookpassv1.Verdict) Verdict {
 	switch v {
 	case rookpassv1.Verdict_VERDICT_NOT_RUN:
@@ -62,10 +62,10 @@
 	}
 }
 
-// Code is a stable name of a kind of error.
+// Code is the stable name of a kind of error.
 type Code string
 
-// The codes that callers and operators see. docs/OPERATIONS.md tells what to do about each.
+// The codes that callers and operators see. docs/OPERATIONS.md explains how to handle each.
 const (
 	Unauthenticated Code = "UNAUTHENTICATED"
 	Forbidden       Code = "FORBIDDEN"
@@ -100,16 +100,16 @@
 	Lost:            codes.Unknown,
 }
 
-// class marks errors that carry a verdict in logs.
+// class is the class of the causes that this package creates.
 var class = errs.Class("rookpass")
 
-// Error is an error with its verdict.
+// Error is an error with a code and a verdict.
 type Error struct {
 	Code    Code
 	Verdict Verdict
-	// RetryAfter is when to come back; 0 means that the same request will never succeed.
+	// RetryAfter is the delay before a retry; 0 means that the same request will never succeed.
 	RetryAfter time.Duration
-	// CurrentVersion is the object's version on Conflict.
+	// CurrentVersion is the object's current version if Code is Conflict.
 	CurrentVersion uint64
 	err            error
 }
@@ -122,12 +122,12 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
 
-// Refuse returns an error for a request that provably did not run and never will as it is.
+// Refuse returns an error for a request that did not run and must not be retried unchanged.
 func Refuse(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Verdict: NotRun, err: class.New(format, args...)}
 }
 
-// RetryLater returns an error for a request that provably did not run and may succeed after a time.
+// RetryLater returns an error for a request that did not run and may be retried after a delay.
 func RetryLater(code Code, after time.Duration, format string, args ...any) *Error {
 	return &Error{Code: code, Verdict: NotRun, RetryAfter: after, err: class.New(format, args...)}
 }
@@ -137,7 +137,7 @@
 	return &Error{Code: code, Verdict: MayHaveRun, RetryAfter: after, err: class.New(format, args...)}
 }
 
-// Of returns the typed error in err's chain. Any other error becomes one that may have run.
+// Of returns the *Error in err's chain. Any other error becomes one with the code Lost and the verdict MayHaveRun.
 func Of(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -146,13 +146,13 @@
 	return &Error{Code: Lost, Verdict: MayHaveRun, err: class.Wrap(err)}
 }
 
-// IsCode tells whether err's chain holds a typed error of the code.
+// IsCode reports whether err's chain holds an *Error with the code.
 func IsCode(err error, code Code) bool {
 	var typed *Error
 	return errors.As(err, &typed) && typed.Code == code
 }
 
-// GRPC returns err as a gRPC status with its ErrorDetail. A nil error stays nil.
+// GRPC returns err as a gRPC status error with an ErrorDetail. A nil error stays nil.
 func GRPC(err error) error {
 	if err == nil {
 		return nil
@@ -176,8 +176,8 @@
 	return st.Err()
 }
 
-// FromGRPC returns the typed error that a status carries. A status without a detail did not come from
-// rookpass code, so its request may have run.
+// FromGRPC returns the *Error that a status error carries. A status without an ErrorDetail was not made by rookpass,
+// so its request may have run.
 func FromGRPC(err error) *Error {
 	st, _ := status.FromError(err)
 	for _, detail := range st.Details() {
--- a/internal/base/wait/wait.go
+++ b/internal/base/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses until a time has passed or a context ends.
+// Package wait waits for a duration or a group, bounded by a context.
 package wait
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For returns nil after d, or ctx's error if that ends first. A d of 0 or less does not wait.
+// For returns nil after d, or ctx's error if ctx ends first. It does not wait if d is 0 or less.
 func For(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -19,7 +19,7 @@
 	}
 }
 
-// Group returns nil once a group is done, or ctx's error if that ends first.
+// Group returns nil once group is done, or ctx's error if ctx ends first.
 func Group(ctx context.Context, group *sync.WaitGroup) error {
 	done := make(chan struct{})
 	go func() {
