--- a/internal/order_test.go
+++ b/internal/order_test.go
@@ -14,7 +14,7 @@
 
 const importRoot = "github.com/rookpass/rookpass/internal/"
 
-// allowedImports has, for each group, the groups that it may import beside itself. The order of README.md follows from it.
+// mayImport lists, for each group of packages, the other groups that it may import. README.md documents the order.
 var allowedImports = map[string]string{
 	"base":      "",
 	"transport": "base",
@@ -27,7 +27,7 @@
 	"testing":   "base transport objects decide turns front node rookpassd",
 }
 
-// forbiddenImport tells whether a package of one group may not import a path.
+// forbiddenImport reports whether a package of a group must not import a path.
 func forbiddenImport(group, path string) bool {
 	rest, inside := strings.CutPrefix(path, importRoot)
 	if !inside {
@@ -37,8 +37,9 @@
 	return other != group && !strings.Contains(" "+allowedImports[group]+" ", " "+other+" ")
 }
 
-// TestGroupsImportOnlyThoseBelow: tests may import anything.
-func TestGroupsImportOnlyThoseBelow(t *testing.T) {
+// TestImportLayers checks that packages import only their own group and those that mayImport allows. Test files may
+// import anything.
+func TestImportLayers(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -47,7 +48,7 @@
 		files++
 		group, _, _ := strings.Cut(filepath.ToSlash(path), "/")
 		_, known := allowedImports[group]
-		assert.Check(t, known, "%s is in no group", path)
+		assert.Check(t, known, "%s does not belong to a known group", path)
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 		if err != nil {
 			return err
@@ -55,15 +56,15 @@
 		for _, spec := range file.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
 			assert.NilError(t, err)
-			assert.Check(t, !forbiddenImport(group, imported), "%s imports %s", path, imported)
+			assert.Check(t, !forbiddenImport(group, imported), "%s must not import %s", path, imported)
 		}
 		return nil
 	})
 	assert.NilError(t, err)
-	assert.Assert(t, files > 100, "only %d files were looked at", files)
+	assert.Assert(t, files > 100, "only %d files were checked", files)
 }
 
-func TestOrderIsToldApart(t *testing.T) {
+func TestForbiddenImport(t *testing.T) {
 	assert.Assert(t, forbiddenImport("base", importRoot+"front/gateway"))
 	assert.Assert(t, forbiddenImport("front", importRoot+"testing/workload"))
 	assert.Assert(t, !forbiddenImport("front", importRoot+"base/wait"))
