--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -18,81 +18,85 @@
 )
 
 const (
-	// requestHost is the name that callers ask for.
+	// requestHost is the Host header of all requests.
 	requestHost = "agents.example"
-	// maxTurnTokens is the most that a turn generates.
+	// maxTurnTokens is the maximum number of tokens that a turn generates.
 	maxTurnTokens = tokensPerEvent * eventsPerTurn
-	// turnsPerProgram bounds a program; every fourth has a budget for fewer.
+	// turnsPerProgram is the number of turns of a program. Every fourth program has a token budget for smallBudgetTurns
+	// only.
 	turnsPerProgram  = 6
 	smallBudgetTurns = 3
 	callDeadline     = 4 * time.Second
-	// retryTimeout is how long a turn is tried again before its program is given up, in a run under faults.
+	// retryTimeout bounds the retries of a turn while faults are injected. After it, the program is abandoned.
 	retryTimeout = 6 * time.Second
-	// retryPause is the time between two tries of a turn.
+	// retryPause is the delay between two attempts of a turn.
 	retryPause = 150 * time.Millisecond
-	// recoveryTimeout is how soon after the last fault everything must be served again.
+	// recoveryTimeout is the time after the last fault within which all requests must be served again.
 	recoveryTimeout = 12 * time.Second
 )
 
-// notRunStatuses are the statuses that promise that a request has not run and never will.
+// notRunStatuses are the statuses which guarantee that a request has not run and will not run.
 var notRunStatuses = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusPaymentRequired}
 
-// lastID gives requests and programs names of their own.
+// lastID is the number in the last ID given to a request or program. IDs are unique in the process.
 var lastID atomic.Int64
 
-// Caller runs programs, one after the other.
+// Caller sends the requests of one caller and reports to a Checker what it sees.
 type Caller struct {
 	fronts  []string
 	checker *Checker
 	client  *http.Client
-	// organisation is the caller's; its key goes with each request.
+	// organisation is the organisation whose key is sent with each request.
 	organisation string
 	mu           sync.Mutex
 	random       *rand.Rand
-	// lastBranch is the newest line of turns that is whole so far: its turns must be there after the faults.
+	// lastBranch is the newest branch whose turns all succeeded; they must still exist after the faults.
 	lastBranch branch
 }
 
-// branch is a program's branch of turns.
+// branch is a sequence of turns of a program, each continuing the one before. previous is the ID of the last turn,
+// history the text of all turns.
 type branch struct {
 	program, previous, history string
 	turns                      int
 	smallBudget                bool
 }
 
-// NewCaller returns a caller of some fronts, by their addresses. dial is nil for the network of this machine.
+// NewCaller returns a caller that sends to random front daemons of the given addresses. A nil dial uses the host's
+// network.
 func NewCaller(fronts []string, checker *Checker, seed uint64, dial network.DialContext) *Caller {
 	organisations := Organisations()
 	return &Caller{fronts: fronts, checker: checker, organisation: organisations[seed%uint64(len(organisations))].Name, random: rand.New(rand.NewPCG(seed, 2)),
 		client: &http.Client{Transport: &http.Transport{DialContext: dial}}}
 }
 
-// ForOrganisation makes the caller one of an organisation, and returns it.
+// ForOrganisation sets the caller's organisation and returns the caller.
 func (c *Caller) ForOrganisation(organisation string) *Caller {
 	c.organisation = organisation
 	return c
 }
 
-// Work is what a caller asks for.
+// Work is a kind of requests that a caller sends.
 type Work string
 
 // The kinds of work.
 const (
-	// Programs are turns with calls of tools between them; every fourth program has a scarce budget.
+	// Programs are programs of turns with tool calls between them. Every fourth program has a small token budget.
 	Programs Work = "programs"
-	// ResumablePrograms are programs whose turns are not kept and may be resumed; every fourth has a scarce budget.
+	// ResumablePrograms are programs whose turns are not retained and have resumable streams. Every fourth program has a
+	// small token budget.
 	ResumablePrograms Work = "questions"
-	// ForkedTurns are two lines of turns that fork from one, side by side.
+	// ForkedTurns are programs that fork after their first turn into two concurrent branches.
 	ForkedTurns Work = "turns"
-	// ForkedBudgets are two lines side by side, with a budget for fewer turns.
+	// ForkedBudgets are ForkedTurns with a small token budget.
 	ForkedBudgets Work = "budgets"
-	// AtMostOnceCalls are calls of tools that must not run twice.
+	// AtMostOnceCalls are tool calls that must not run twice.
 	AtMostOnceCalls Work = "calls"
-	// IdempotentCalls are calls that may.
+	// IdempotentCalls are tool calls that may run more than once.
 	IdempotentCalls Work = "lookups"
 )
 
-// Run asks for work until stop is closed.
+// Run sends requests of a kind until stop is closed.
 func (c *Caller) Run(work Work, stop <-chan struct{}) {
 	for {
 		select {
@@ -115,7 +119,7 @@
 	}
 }
 
-// Close ends the caller's connections.
+// Close closes the caller's idle connections.
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
 func (c *Caller) runPrograms() {
@@ -131,7 +135,7 @@
 	}
 }
 
-// runFork runs one turn and then two lines that go on from it, side by side.
+// runFork runs one turn and then two concurrent branches that continue from it.
 func (c *Caller) runFork(smallBudget bool) {
 	first := branch{program: fmt.Sprintf("p%d", lastID.Add(1)), smallBudget: smallBudget}
 	if !c.retryTurn(&first, retryTimeout) {
@@ -149,22 +153,22 @@
 	c.lastBranch = branches[0]
 }
 
-// CheckRecovery asks that the caller's last line goes on, and a new program begins.
+// CheckRecovery checks that a new program can be started and that the caller's last branch can be continued.
 func (c *Caller) CheckRecovery() {
 	newBranch := branch{program: fmt.Sprintf("p%d", lastID.Add(1))}
 	if !c.retryTurn(&newBranch, recoveryTimeout) {
-		c.checker.AddViolation("after the faults no new program was served within %v", recoveryTimeout)
+		c.checker.AddViolation("after the faults no new program could be started within %v", recoveryTimeout)
 	}
 	if c.lastBranch.previous == "" || c.lastBranch.smallBudget {
 		return
 	}
 	if !c.retryTurn(&c.lastBranch, recoveryTimeout) {
-		c.checker.AddViolation("after the faults program %s could not go on from %s", c.lastBranch.program, c.lastBranch.previous)
+		c.checker.AddViolation("after the faults program %s could not be continued from turn %s", c.lastBranch.program, c.lastBranch.previous)
 	}
 }
 
-// HasConfigVersion asks a front for the route that came with a version, and reports whether it is in force there; false
-// too where the front does not answer. life names the front's present life.
+// HasConfigVersion requests the route that a configuration version added and reports whether a front daemon serves it.
+// It returns false if the front does not answer. instance identifies the current process of the front.
 func (c *Caller) HasConfigVersion(front, instance string, version int64) bool {
 	id := fmt.Sprintf("v%d", lastID.Add(1))
 	c.checker.RecordSent(id, "", true)
@@ -176,7 +180,7 @@
 	return status == http.StatusOK
 }
 
-// SendLookup sends one lookup to a front and returns how it was answered; 0 where it broke off.
+// SendLookup sends an idempotent call to a front daemon and returns the status, or 0 if there was no complete answer.
 func (c *Caller) SendLookup(front string) int {
 	id := fmt.Sprintf("a%d", lastID.Add(1))
 	c.checker.RecordSent(id, "", true)
@@ -187,7 +191,7 @@
 	return c.recordStatus(id, status, nil)
 }
 
-// retryTurn tries a turn until it is whole, and reports whether it was in time.
+// retryTurn sends a turn until it succeeds, and reports whether it did within the timeout.
 func (c *Caller) retryTurn(b *branch, timeout time.Duration) bool {
 	for start := time.Now(); time.Since(start) < timeout; {
 		switch c.sendTurn(b) {
@@ -201,7 +205,6 @@
 	return false
 }
 
-// tokenBudget returns a program's token budget.
 func tokenBudget(smallBudget bool) int64 {
 	if smallBudget {
 		return smallBudgetTurns * maxTurnTokens
@@ -209,7 +212,7 @@
 	return 100 * maxTurnTokens
 }
 
-// sendTurn sends the line's next sendTurn once, and returns how it was answered; 0 where it broke off.
+// sendTurn sends the branch's next turn once and returns the status, or 0 if there was no complete answer.
 func (c *Caller) sendTurn(b *branch) int {
 	budget := tokenBudget(b.smallBudget)
 	id := fmt.Sprintf("t%d", lastID.Add(1))
@@ -219,7 +222,7 @@
 	status, header, body, err := c.send("/turn/", call, input)
 	c.checker.RecordTokens(b.program, tokensPerEvent*int64(strings.Count(string(body), "data: ")), budget+maxTurnTokens)
 	if status == http.StatusNotFound {
-		c.checker.AddViolation("turn %s was answered 404 though %q is kept", id, b.previous)
+		c.checker.AddViolation("turn %s was answered with 404 although turn %q is retained", id, b.previous)
 	}
 	if status != http.StatusOK || err != nil {
 		return c.recordStatus(id, status, err)
@@ -229,7 +232,7 @@
 		output += eventData(id, n) + "\n"
 	}
 	if string(body) != eventText(id, 1, eventsPerTurn) || !platformtest.Signed(header, id) {
-		c.checker.AddViolation("turn %s was answered whole with %.120q", id, body)
+		c.checker.AddViolation("turn %s has the wrong complete answer %.120q", id, body)
 	}
 	c.checker.RecordOutcome("turn whole")
 	b.previous, b.history = id, b.history+input+output
@@ -237,14 +240,14 @@
 	return http.StatusOK
 }
 
-// callTool sends one call of a tool, and waits before the next where it failed.
+// callTool sends a tool call, and waits for retryPause if it failed.
 func (c *Caller) callTool(path string, idempotent bool) {
 	if !c.sendToolCall(path, idempotent) {
 		time.Sleep(retryPause)
 	}
 }
 
-// sendToolCall sends one call of a sendToolCall, and reports whether it was whole.
+// sendToolCall sends a tool call and reports whether it succeeded.
 func (c *Caller) sendToolCall(path string, idempotent bool) bool {
 	id := fmt.Sprintf("c%d", lastID.Add(1))
 	c.checker.RecordSent(id, "args of "+id, idempotent)
@@ -254,12 +257,13 @@
 		return false
 	}
 	if string(body) != toolAnswer(id) || !platformtest.Signed(header, id) {
-		c.checker.AddViolation("call %s was answered whole with %.120q", id, body)
+		c.checker.AddViolation("call %s has the wrong complete answer %.120q", id, body)
 	}
 	c.checker.RecordOutcome("call whole")
 	return true
 }
 
+// recordStatus records the outcome of a request and returns its status, or 0 if err is not nil.
 func (c *Caller) recordStatus(id string, status int, err error) int {
 	if err != nil {
 		c.checker.RecordOutcome("broken off")
@@ -290,7 +294,7 @@
 	call.Key = keyOf(c.organisation)
 	c.checker.RecordSender(call.ID, c.organisation)
 	r.Header = call.Header()
-	r.GetBody = nil // or the client sends a request again by itself
+	r.GetBody = nil // prevents automatic retries by the HTTP client
 	resp, err := c.client.Do(r)
 	if err != nil {
 		return 0, nil, nil, err
--- a/internal/testing/workload/config.go
+++ b/internal/testing/workload/config.go
@@ -8,8 +8,8 @@
 	"github.com/rookpass/rookpass/platform/platformtest"
 )
 
-// Organisations returns those that callers belong to. Their limit is above all that callers of a run ask for, so that each
-// request is counted and none is refused.
+// Organisations returns the organisations of callers. Their rate limits exceed the request rate of a run, so that no
+// request is rejected.
 func Organisations() []platformtest.Organisation {
 	var all []platformtest.Organisation
 	for _, name := range []string{"north", "south"} {
@@ -18,18 +18,17 @@
 	return all
 }
 
-// OrganisationOf returns an organisation whose callers are limited to so many requests a second, and as many on top.
+// OrganisationOf returns an organisation with a rate limit in requests per second and a burst of the same number.
 func OrganisationOf(name string, perSecond float64) platformtest.Organisation {
 	return platformtest.Organisation{Name: name, Keys: []string{keyOf(name)}, PerS: perSecond, Burst: perSecond}
 }
 
-// keyPrefix is in every key, so that a key can be found wherever it does not belong.
+// keyPrefix is the prefix of all keys, by which containsKey detects them.
 const keyPrefix = "key-of-"
 
 func keyOf(organisation string) string { return keyPrefix + organisation }
 
-// Config returns a version of the configuration: the routes that callers ask for, and one more for each version
-// before this one and for itself.
+// Config returns a configuration version: the routes that callers use, and one route for each version up to this one.
 func Config(version int64) catalog.Config {
 	route := func(name string, kind catalog.Kind, service string) catalog.Route {
 		return catalog.Route{Name: name, Host: requestHost, Prefix: "/" + name + "/", Kind: kind, Timeout: callDeadline, MaxAttempts: 3,
--- a/internal/testing/workload/resumable.go
+++ b/internal/testing/workload/resumable.go
@@ -9,18 +9,18 @@
 	"github.com/rookpass/rookpass/platform/platformtest"
 )
 
-// resumablePath is the route of turns that are not kept and may be resumed.
+// resumablePath is the route of turns that are not retained and have resumable streams.
 const resumablePath = "/question/"
 
-// resumableTurn is a turn that is not kept, with what its caller has of the answer.
+// resumableTurn is a turn that is not retained, with the state of its answer.
 type resumableTurn struct {
 	program, input string
 	budget         int64
-	// received is how many events the caller has.
+	// received is the number of events that the caller has received.
 	received int
 }
 
-// runResumable runs a program whose turns are not kept.
+// runResumable runs a program with resumable turns.
 func (c *Caller) runResumable() {
 	n := lastID.Add(1)
 	program := fmt.Sprintf("q%d", n)
@@ -32,8 +32,8 @@
 	}
 }
 
-// retryResumable asks until the answer is whole, each time for what is still missing, and reports whether it was
-// in time.
+// retryResumable sends a turn until its answer is complete, each time resuming after the last event received. It reports
+// whether the answer was complete within the timeout.
 func (c *Caller) retryResumable(t *resumableTurn, timeout time.Duration) bool {
 	for start := time.Now(); time.Since(start) < timeout; time.Sleep(retryPause) {
 		switch c.sendResumable(t) {
@@ -46,7 +46,7 @@
 	return false
 }
 
-// sendResumable sends a question once, and returns how it was answered; 0 where it broke off.
+// sendResumable sends a turn once and returns the status, or 0 if the answer was not complete.
 func (c *Caller) sendResumable(t *resumableTurn) int {
 	id := fmt.Sprintf("t%d", lastID.Add(1))
 	c.checker.RecordSent(id, t.input, true)
@@ -59,14 +59,14 @@
 	c.checker.RecordTokens(t.program, int64(tokensPerEvent*events), t.budget+maxTurnTokens)
 	want := eventText(t.input, t.received+1, t.received+events)
 	if !strings.HasPrefix(string(body), want) || t.received+events > eventsPerTurn || !platformtest.Signed(header, id) {
-		c.checker.AddViolation("question %s, asked behind event %d, was answered with %.120q", id, t.received, body)
+		c.checker.AddViolation("resumable turn %s, resumed after event %d, has the wrong answer %.120q", id, t.received, body)
 	}
 	t.received += events
 	if err != nil {
 		return c.recordStatus(id, status, err)
 	}
 	if t.received != eventsPerTurn || string(body) != want {
-		c.checker.AddViolation("question %s ended as whole after event %d", id, t.received)
+		c.checker.AddViolation("answer of resumable turn %s ended after event %d as if complete", id, t.received)
 	}
 	c.checker.RecordOutcome("question whole")
 	return http.StatusOK
--- a/internal/testing/workload/server.go
+++ b/internal/testing/workload/server.go
@@ -1,6 +1,6 @@
-// Package workload has callers that run programs, backend servers that answer them, and a checker that holds
-// rookpass's promises against what both see. The soak puts real processes between them, the fault matrix of
-// internal/node daemons in virtual time.
+// Package workload has callers that run programs, backend servers that answer them, and a checker that checks rookpass's
+// invariants against what both observe. Package soak runs it against real processes, and the tests of internal/node
+// against daemons in virtual time.
 package workload
 
 import (
@@ -22,26 +22,26 @@
 const (
 	modelService = "model"
 	toolService  = "tool"
-	// tokensPerEvent is what one event of the model's stream stands for, eventsPerTurn how many a turn has.
+	// tokensPerEvent is the number of tokens per event of the model's stream, eventsPerTurn the number of events per turn.
 	tokensPerEvent = 3
 	eventsPerTurn  = 4
-	// eventInterval is the time between two events, toolTime what a tool takes.
+	// eventInterval is the time between two events, toolDelay the duration of a tool call.
 	eventInterval = 15 * time.Millisecond
 	toolDelay     = 20 * time.Millisecond
 )
 
-// Fault is how a server spoils its answers; the zero value is none.
+// Fault is a fault of a server's answers. The zero value means none.
 type Fault string
 
 // The faults of a server.
 const (
-	// Hang runs requests and says nothing.
+	// Hang executes requests and does not answer.
 	Hang Fault = "hang"
-	// Truncate breaks answers off in the middle.
+	// Truncate aborts answers in the middle.
 	Truncate Fault = "cut"
 	// Duplicate sends each answer twice.
 	Duplicate Fault = "surplus"
-	// Shed turns requests away as not run.
+	// Shed rejects requests with 503, marked as not run.
 	Shed Fault = "shed"
 )
 
@@ -54,11 +54,11 @@
 	mu        sync.Mutex
 	entry     catalog.Server
 	instances int
-	// ended is closed when the present start ends.
+	// ended is closed when the current start ends.
 	ended chan struct{}
 }
 
-// NewServer returns the server at a place, whose number picks its service and data centre. address is where
+// NewServer returns a server. Its index determines its service and its data centre. address is the address at which
 // daemons reach it.
 func NewServer(index int, address string, checker *Checker) *Server {
 	service := modelService
@@ -72,10 +72,10 @@
 	return s
 }
 
-// SetFault sets how the server spoils its answers.
+// SetFault sets the fault of the server's answers.
 func (s *Server) SetFault(f Fault) { s.fault.Store(f) }
 
-// Replace begins another life of the server at its address, and returns its entry.
+// Replace replaces the server by a new one with a new name at the same address, and returns its registry entry.
 func (s *Server) Replace() catalog.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +85,8 @@
 	return s.entry
 }
 
-// Restart ends the server as a crash behind a cut does, and starts it again under its name and at its address: what was
-// under way stays silent, and so do the connections of before. It returns the new start's entry.
+// Restart simulates a crash that leaves connections open, and a restart with the same name and address. Requests in
+// progress and on existing connections are never answered. It returns the registry entry of the new start.
 func (s *Server) Restart() catalog.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,19 +96,19 @@
 	return s.entry
 }
 
-// startKey is the context key of the start that accepted a connection.
+// startKey is the context key for the ended channel of the start that accepted a connection.
 type startKey struct{}
 
-// ConnContext is the server's http.Server.ConnContext: it ties a connection to the start that accepted it.
+// ConnContext implements http.Server.ConnContext. It associates a connection with the start that accepted it.
 func (s *Server) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return context.WithValue(ctx, startKey{}, s.ended)
 }
 
-// blockIfEnded says nothing more on a connection to a start that has ended.
+// blockIfEnded blocks a request for good, without an answer, if its connection was accepted by a start that has ended.
 func blockIfEnded(r *http.Request) {
-	ended, _ := r.Context().Value(startKey{}).(chan struct{}) // none without ConnContext
+	ended, _ := r.Context().Value(startKey{}).(chan struct{}) // nil if ConnContext is not used
 	select {
 	case <-ended:
 		<-r.Context().Done()
@@ -117,7 +117,7 @@
 	}
 }
 
-// Drain makes the server say that it leaves, and returns its entry.
+// Drain marks the server as draining and returns its registry entry.
 func (s *Server) Drain() catalog.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 	return s.entry
 }
 
-// Entry returns the server's entry as it is now.
+// Entry returns the server's current registry entry.
 func (s *Server) Entry() catalog.Server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +172,7 @@
 	writeToolAnswer(w, id, fault)
 }
 
-// containsKey tells whether a caller's key is anywhere in the headers.
+// containsKey reports whether any header contains a caller's key.
 func containsKey(h http.Header) bool {
 	for _, values := range h {
 		if strings.Contains(strings.Join(values, "\n"), keyPrefix) {
@@ -182,8 +182,8 @@
 	return false
 }
 
-// answerKey returns what the events of an answer depend on: an answer that may be resumed is the same under every
-// id that its caller asks again with.
+// answerKey returns the key that determines the events of an answer. A resumable answer depends on the body only,
+// because each attempt has its own request ID.
 func answerKey(r *http.Request, id, body string) string {
 	if strings.HasPrefix(r.URL.Path, resumablePath) {
 		return body
@@ -191,10 +191,10 @@
 	return id
 }
 
-// eventData returns the data of an answer's event.
+// eventData returns the data of the n-th event of an answer.
 func eventData(key string, n int) string { return fmt.Sprintf("%s/%d", key, n) }
 
-// eventText returns some events of an answer as they are sent.
+// eventText returns a range of an answer's events as server-sent events.
 func eventText(key string, from, to int) string {
 	var text strings.Builder
 	for n := from; n <= to; n++ {
@@ -207,22 +207,22 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := platformtest.LastEvent(r.Header) + 1; n <= eventsPerTurn; n++ {
 		blockIfEnded(r)
-		_, _ = io.WriteString(w, eventText(key, n, n)) // the caller may have left
+		_, _ = io.WriteString(w, eventText(key, n, n)) // the caller may have disconnected
 		w.(http.Flusher).Flush()
 		if fault == Truncate && n == eventsPerTurn/2 {
-			_, _ = io.WriteString(w, "id: 9\nda") // half an event, which must not reach the caller
+			_, _ = io.WriteString(w, "id: 9\nda") // a partial event, which must not reach the caller
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		}
 		select {
 		case <-time.After(eventInterval):
 		case <-r.Context().Done():
-			panic(http.ErrAbortHandler) // to return would end the answer as if it were whole
+			panic(http.ErrAbortHandler) // a return would end the answer as if it were complete
 		}
 	}
 }
 
-// toolAnswer is the body of a tool's answer.
+// toolAnswer returns the body of a tool's answer.
 func toolAnswer(id string) string { return "done " + id + strings.Repeat(".", 200) }
 
 func writeToolAnswer(w http.ResponseWriter, id string, fault Fault) {
