--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -7,17 +7,16 @@
 	"time"
 )
 
-// Checker holds the promises against what callers and servers see.
+// Checker checks rookpass's invariants against what callers and backend servers observe. It is safe for concurrent use.
 type Checker struct {
 	mu             sync.Mutex
 	expectedBodies map[string]string
 	runCounts      map[string]int
 	idempotent     map[string]bool
-	// organisations are the organisations of requests, sentAt when those were sent.
+	// organisations and sentAt hold the caller's organisation and the time of sending of each request.
 	organisations map[string]string
 	sentAt        map[string]time.Time
-	// revokedFrom is from when on an organisation's requests may not run that are sent later; served are the runs of its
-	// requests.
+	// revokedFrom is the time after which an organisation's new requests must not run.
 	revokedFrom        map[string]time.Time
 	runsByOrganisation map[string][]run
 	refusals           map[string]int
@@ -27,17 +26,17 @@
 	lateAllowedUntil   time.Time
 	newestVersions     map[string]int64
 	violations         []string
-	// outcomes are how requests ended, by what callers saw.
+	// outcomes is the number of requests by outcome, as callers saw it.
 	outcomes map[string]int
 }
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns a Checker without records.
 func NewChecker() *Checker {
 	return &Checker{expectedBodies: map[string]string{}, runCounts: map[string]int{}, idempotent: map[string]bool{}, organisations: map[string]string{}, sentAt: map[string]time.Time{}, revokedFrom: map[string]time.Time{}, runsByOrganisation: map[string][]run{}, refusals: map[string]int{},
 		tokens: map[string]int64{}, drainingSince: map[string]time.Time{}, arrivals: map[string]int{}, newestVersions: map[string]int64{}, outcomes: map[string]int{}}
 }
 
-// AddViolation notes a broken promise.
+// AddViolation records a violated invariant.
 func (c *Checker) AddViolation(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +47,7 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// RecordSent notes a request: what a server must get, and whether it may run twice.
+// RecordSent records a request: the body that a server must receive, and whether it may run more than once.
 func (c *Checker) RecordSent(id, body string, idempotent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +55,7 @@
 	c.idempotent[id] = idempotent
 }
 
-// RecordSender notes whose a request is.
+// RecordSender records the organisation of a request's caller, and the current time as the time of sending.
 func (c *Checker) RecordSender(id, organisation string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,17 +63,19 @@
 	c.sentAt[id] = time.Now()
 }
 
-// RecordRevocation notes that an organisation's requests may not run that are sent later than a time.
+// RecordRevocation records that an organisation's requests must not run if they are sent after a time. The zero time
+// lifts the revocation.
 func (c *Checker) RecordRevocation(organisation string, from time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revokedFrom[organisation] = from
 }
 
-// run is one running of a request.
+// run is one execution of a request: when it was sent and when it ran.
 type run struct{ sent, ran time.Time }
 
-// MaxRunsWithin returns the most requests of an organisation that were both sent and run within any window of a length.
+// MaxRunsWithin returns the maximum number of an organisation's requests that were both sent and run within a window of
+// the given length.
 func (c *Checker) MaxRunsWithin(organisation string, window time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,97 +93,100 @@
 	return most
 }
 
-// Runs returns how many requests of an organisation have run.
+// Runs returns the number of executed requests of an organisation.
 func (c *Checker) Runs(organisation string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.runsByOrganisation[organisation])
 }
 
-// RecordIdentity notes what a server was told of a request's organisation, and whether its caller's key came along.
+// RecordIdentity records the organisation that a server received with a request, and whether it received the caller's
+// key, which it must not.
 func (c *Checker) RecordIdentity(id, organisation string, key bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	want := c.organisations[id]
 	if organisation != want {
-		c.addViolation("%s of %q came to a server as one of %q", id, want, organisation)
+		c.addViolation("%s of organisation %q reached a server with organisation %q", id, want, organisation)
 	}
 	now, sent := time.Now(), c.sentAt[id]
 	c.runsByOrganisation[want] = append(c.runsByOrganisation[want], run{sent, now})
 	if from := c.revokedFrom[want]; !from.IsZero() && sent.After(from) {
-		c.addViolation("%s of %q ran, sent %v after it had to be refused", id, want, sent.Sub(from))
+		c.addViolation("%s of organisation %q ran although it was sent %v after the revocation took effect", id, want, sent.Sub(from))
 	}
 	if key {
-		c.addViolation("%s came to a server with its caller's key", id)
+		c.addViolation("%s reached a server with its caller's key", id)
 	}
 }
 
-// RecordRun notes that a server began on a request.
+// RecordRun records that a server started to execute a request.
 func (c *Checker) RecordRun(id, body string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	want, known := c.expectedBodies[id]
 	if !known {
-		c.addViolation("a server ran %q, which nobody sent", id)
+		c.addViolation("a server ran %q, which no caller sent", id)
 		return
 	}
 	if body != want {
-		c.addViolation("a server ran %s with %d bytes %.80q, not %d bytes %.80q", id, len(body), body, len(want), want)
+		c.addViolation("a server ran %s with %d bytes %.80q, want %d bytes %.80q", id, len(body), body, len(want), want)
 	}
 	c.runCounts[id]++
 	if c.runCounts[id] > 1 && !c.idempotent[id] {
-		c.addViolation("%s must run once and ran %d times", id, c.runCounts[id])
+		c.addViolation("%s must run at most once but ran %d times", id, c.runCounts[id])
 	}
 	if status := c.refusals[id]; status != 0 {
-		c.addViolation("%s was answered %d and ran later", id, status)
+		c.addViolation("%s was rejected with status %d and ran later", id, status)
 	}
 }
 
-// RecordRefusal notes an answer that says that the request has not run and never will.
+// RecordRefusal records a status which guarantees that the request has not run and will not run.
 func (c *Checker) RecordRefusal(id string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refusals[id] = status
 	if c.runCounts[id] > 0 && !c.idempotent[id] {
-		c.addViolation("%s ran and was answered %d", id, status)
+		c.addViolation("%s ran but was rejected with status %d", id, status)
 	}
 }
 
-// RecordTokens notes tokens that a caller got of a program whose budget, with one turn's most above it, is limit.
+// RecordTokens records tokens that a caller received for a program. limit is the program's token budget plus the maximum
+// of one turn.
 func (c *Checker) RecordTokens(program string, tokens, limit int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tokens[program] += tokens
 	if c.tokens[program] > limit {
-		c.addViolation("program %s handed out %d tokens of %d", program, c.tokens[program], limit)
+		c.addViolation("program %s delivered %d tokens, limit %d", program, c.tokens[program], limit)
 	}
 }
 
-// drainTime is how long after a server's word that it leaves it may still get requests.
+// drainTime is the time after the start of draining during which a server may still receive requests.
 const drainTime = 2 * time.Second
 
-// RecordDraining notes that a server has said that it leaves, or that its entry is no server's any more.
+// RecordDraining records that a server is draining, or that its registry entry is no longer valid.
 func (c *Checker) RecordDraining(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drainingSince[server] = time.Now()
 }
 
-// RecordReturned notes that a server may get requests again.
+// RecordReturned records that a server may receive requests again.
 func (c *Checker) RecordReturned(server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.drainingSince, server)
 }
 
-// AllowLateArrivals lets requests reach leaving servers until a time: a paused daemon's last ones arrive when it wakes.
+// AllowLateArrivals permits requests to reach draining servers until a time, because a daemon may send pending requests
+// when it is resumed after a pause.
 func (c *Checker) AllowLateArrivals(until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lateAllowedUntil = until
 }
 
-// RecordArrival notes that a request has reached a server.
+// RecordArrival records that a request has reached a server.
 func (c *Checker) RecordArrival(server, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,43 +194,44 @@
 	now := time.Now()
 	at, leaving := c.drainingSince[server]
 	if leaving && now.Sub(at) > drainTime && now.After(c.lateAllowedUntil) {
-		c.addViolation("%s reached server %s %v after it had said that it leaves", id, server, now.Sub(at))
+		c.addViolation("%s reached server %s %v after it started draining", id, server, now.Sub(at))
 	}
 }
 
-// Arrivals returns how many requests have reached a server.
+// Arrivals returns the number of requests that have reached a server.
 func (c *Checker) Arrivals(server string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.arrivals[server]
 }
 
-// RecordConfigVersion notes that one life of a front has served a route of a version, or refused one.
+// RecordConfigVersion records whether a process of a front daemon knew the route that a configuration version added. A
+// version must stay in force once it was seen.
 func (c *Checker) RecordConfigVersion(front string, version int64, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if known {
 		c.newestVersions[front] = max(c.newestVersions[front], version)
 	} else if version <= c.newestVersions[front] {
-		c.addViolation("%s went back: it knows no route of version %d after it has served one of %d", front, version, c.newestVersions[front])
+		c.addViolation("%s reverted its configuration: it does not know a route of version %d but has served one of version %d", front, version, c.newestVersions[front])
 	}
 }
 
-// RecordOutcome counts how a request ended.
+// RecordOutcome counts the outcome of a request.
 func (c *Checker) RecordOutcome(outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes[outcome]++
 }
 
-// Counts returns how many requests ended how, by what callers saw.
+// Counts returns the number of requests by outcome, as callers saw it.
 func (c *Checker) Counts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.outcomes)
 }
 
-// Violations returns the broken promises.
+// Violations returns the violated invariants.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testing/workload/checker_test.go
+++ b/internal/testing/workload/checker_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCheckerCatches: each promise, broken, is noticed.
-func TestCheckerCatches(t *testing.T) {
+// TestCheckerDetectsViolations: the checker reports each violated invariant and nothing else.
+func TestCheckerDetectsViolations(t *testing.T) {
 	for name, c := range map[string]struct {
 		events func(*Checker)
 		want   string
@@ -25,15 +25,15 @@
 			c.RecordRefusal("d", 503)
 			c.RecordTokens("p", 10, 10)
 		}, ""},
-		"ran twice":                {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRun("a", "x") }, "must run once"},
+		"ran twice":                {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRun("a", "x") }, "must run at most once"},
 		"refused then ran":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRefusal("a", 503); c.RecordRun("a", "x") }, "ran later"},
-		"ran then refused":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRefusal("a", 402) }, "was answered 402"},
+		"ran then refused":         {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "x"); c.RecordRefusal("a", 402) }, "was rejected with status 402"},
 		"changed":                  {func(c *Checker) { c.RecordSent("a", "x", false); c.RecordRun("a", "y") }, "with 1 bytes"},
-		"nobody sent":              {func(c *Checker) { c.RecordRun("a", "x") }, "nobody sent"},
-		"beyond budget":            {func(c *Checker) { c.RecordTokens("p", 6, 10); c.RecordTokens("p", 6, 10) }, "12 tokens of 10"},
-		"late at a leaving server": {func(c *Checker) { c.RecordDraining("s"); time.Sleep(3 * time.Second); c.RecordArrival("s", "a") }, "after it had said"},
+		"nobody sent":              {func(c *Checker) { c.RecordRun("a", "x") }, "no caller sent"},
+		"beyond budget":            {func(c *Checker) { c.RecordTokens("p", 6, 10); c.RecordTokens("p", 6, 10) }, "12 tokens, limit 10"},
+		"late at a leaving server": {func(c *Checker) { c.RecordDraining("s"); time.Sleep(3 * time.Second); c.RecordArrival("s", "a") }, "after it started draining"},
 		"soon at a leaving server": {func(c *Checker) { c.RecordDraining("s"); time.Sleep(time.Second); c.RecordArrival("s", "a") }, ""},
-		"went back":                {func(c *Checker) { c.RecordConfigVersion("f", 4, true); c.RecordConfigVersion("f", 3, false) }, "went back"},
+		"went back":                {func(c *Checker) { c.RecordConfigVersion("f", 4, true); c.RecordConfigVersion("f", 3, false) }, "reverted its configuration"},
 		"not yet there":            {func(c *Checker) { c.RecordConfigVersion("f", 4, true); c.RecordConfigVersion("f", 5, false) }, ""},
 		"ended by itself":          {func(c *Checker) { c.AddViolation("%s ended by itself", "front-1") }, "ended by itself"},
 	} {
