--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -17,60 +17,60 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/backend"
 )
 
-// EngineOptions configure a model engine.
+// EngineOptions configure an Engine.
 type EngineOptions struct {
-	// MaxConcurrency is how many completions run at once; more are refused with 429.
+	// MaxConcurrency bounds the concurrent completions; further ones are rejected with 429. 0 means no bound.
 	MaxConcurrency int
-	// FirstToken and NextToken are the delays before tokens.
+	// FirstToken is the delay before the first token, NextToken the delay between tokens.
 	FirstToken, NextToken time.Duration
-	// AnswerTokens is the length of an answer, unless the request's bound is lower.
+	// AnswerTokens bounds the length of an answer in tokens, in addition to the request's own limit. 0 means no bound.
 	AnswerTokens int64
-	// ChecksFencing makes the engine refuse an older fencing token for a tag than it has seen.
+	// ChecksFencing makes the engine reject requests with a lower fencing token than the highest seen for their tag.
 	ChecksFencing bool
 }
 
-// EngineFaults are switched by tests and by POST /faults.
+// EngineFaults are the faults of an Engine. Tests set them with SetFaults, other processes with POST /faults.
 type EngineFaults struct {
-	// CutAfter closes each new stream after as many events; 0 never does.
+	// CutAfter ends each new stream after that number of events. 0 disables it.
 	CutAfter int64 `json:"cut_after"`
-	// ForgetStreams makes resumes fail.
+	// ForgetStreams makes requests to resume a stream fail with 404.
 	ForgetStreams bool `json:"forget_streams"`
-	// Refuse answers 503.
+	// Refuse rejects completions with 503.
 	Refuse bool `json:"refuse"`
-	// Hang sends nothing after the headers.
+	// Hang sends no events after the headers.
 	Hang bool `json:"hang"`
 }
 
-// bytesPerToken is the engine's whole tokenizer.
+// bytesPerToken defines the engine's tokens: sequences of 4 bytes.
 const bytesPerToken = 4
 
-// Engine is a model engine whose answers depend on the prompt only.
+// Engine is a stand-in for a model engine. Its answers depend on the prompt only.
 type Engine struct {
 	options EngineOptions
 
 	mu      sync.Mutex
 	faults  EngineFaults
 	running int
-	// streams are the events of completions, finished or not, by request id.
+	// streams holds running and finished completions by request ID.
 	streams map[string]*stream
-	// holds are the cached prompts, by tag.
+	// holds holds cached prompts by tag.
 	holds map[string][]byte
-	// fencing is the highest fencing token seen, by tag.
+	// fencing holds the highest fencing token seen by tag.
 	fencing map[string]uint64
 	served  []Completed
 }
 
-// Completed is a completion that the engine ran, for the checks of tests.
+// Completed is a finished completion, for the assertions of tests.
 type Completed struct {
 	RequestID string
 	HoldTag   string
 	CacheSalt string
 	Usage     backend.Usage
-	// Admitted is when the engine took the completion on.
+	// Admitted is the time at which the engine accepted the completion.
 	Admitted time.Time
 }
 
-// stream is one completion's events.
+// stream holds the events of a completion. changed is closed when events are added.
 type stream struct {
 	events   []backend.CompletionEvent
 	admitted time.Time
@@ -79,28 +79,28 @@
 	changed  chan struct{}
 }
 
-// NewEngine returns an engine without cache.
+// NewEngine returns an engine with an empty cache.
 func NewEngine(options EngineOptions) *Engine {
 	return &Engine{
 		options: options, streams: map[string]*stream{}, holds: map[string][]byte{}, fencing: map[string]uint64{},
 	}
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the faults. Faults of a stream are fixed when it is opened.
 func (e *Engine) SetFaults(faults EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
 }
 
-// Served returns the completions that the engine ran, in the order of their ends.
+// Served returns the finished completions in the order of their ends.
 func (e *Engine) Served() []Completed {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Completed(nil), e.served...)
 }
 
-// HeldTags returns the tags for which the engine keeps cache.
+// HeldTags returns the tags that have cached prompts.
 func (e *Engine) HeldTags() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,7 +111,7 @@
 	return tags
 }
 
-// Handler serves the engine's HTTP interface.
+// Handler returns the handler of the engine's HTTP API.
 func (e *Engine) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.POST("/v1/completions", e.complete)
@@ -149,7 +149,7 @@
 	e.send(ctx, s, 0, faults)
 }
 
-// admit starts a completion or returns the status of its refusal.
+// admit accepts a completion and returns its stream, or returns the status of its rejection.
 func (e *Engine) admit(request backend.CompletionRequest) (*stream, EngineFaults, int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,7 +168,7 @@
 	return s, e.faults, http.StatusOK
 }
 
-// generate adds a completion's events as time passes.
+// generate adds the events of a completion with the configured delays, until it is finished or cancelled.
 func (e *Engine) generate(request backend.CompletionRequest, s *stream) {
 	usage := backend.Usage{
 		PromptTokens: tokenCount(len(request.Prompt)),
@@ -193,7 +193,7 @@
 	e.finish(request, s, answer[:usage.CompletionTokens*bytesPerToken], usage)
 }
 
-// answerText returns count tokens that depend on the prompt alone.
+// answerText returns at least count tokens of text that depend on the prompt only.
 func answerText(prompt string, count int64) []byte {
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(prompt))
@@ -206,7 +206,7 @@
 
 func tokenCount(size int) int64 { return int64((size + bytesPerToken - 1) / bytesPerToken) }
 
-// cachedTokens returns how much of a prompt the engine holds.
+// cachedTokens returns the length of the prompt's prefix that is cached for its tag, in tokens.
 func (e *Engine) cachedTokens(request backend.CompletionRequest) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -218,7 +218,7 @@
 	return int64(common / bytesPerToken)
 }
 
-// emit adds an event. It returns false once the completion is cancelled.
+// emit adds an event to a stream. It returns false if the completion was cancelled.
 func (e *Engine) emit(s *stream, event backend.CompletionEvent) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -255,7 +255,7 @@
 	e.send(ctx, s, int(queryNumber(ctx, "from")), faults)
 }
 
-// send streams a completion's events from an index as server-sent events.
+// send streams a completion's events, starting at an index, as server-sent events.
 func (e *Engine) send(ctx *fasthttp.RequestCtx, s *stream, from int, faults EngineFaults) {
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
@@ -282,7 +282,7 @@
 	})
 }
 
-// hangTimeout returns a channel that is closed after the longest time that any client waits.
+// hangTimeout returns a channel that is closed after an hour, which is longer than any client waits.
 func (s *stream) hangTimeout() <-chan struct{} {
 	expired := make(chan struct{})
 	time.AfterFunc(time.Hour, func() { close(expired) })
--- a/internal/testing/standin/objectapi.go
+++ b/internal/testing/standin/objectapi.go
@@ -1,6 +1,5 @@
-// Package standin holds small servers that take the place of the outside systems: object API, VM list, model
-// engine, tool service, plain service and weight store. They speak the protocols that rookpass uses and can
-// be told to fail.
+// Package standin has simple stand-ins for the external systems: object API, VM list, model engine, tool service, plain
+// service and weight store. They implement the protocols that rookpass uses, and some can inject faults.
 package standin
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// ObjectAPI serves an objectapi.API over HTTP.
+// ObjectAPI returns a handler that serves an objectapi.API over HTTP.
 func ObjectAPI(api objectapi.API) fasthttp.RequestHandler {
 	s := &objectServer{api: api}
 	r := router.New()
--- a/internal/testing/standin/platform.go
+++ b/internal/testing/standin/platform.go
@@ -17,16 +17,16 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// VMList serves the platform's list of VMs. It lags: changes show after a delay.
+// VMList is a stand-in for the platform's list of VMs, in which changes appear after a delay.
 type VMList struct {
-	// Lag is how late changes show.
+	// Lag is the delay until a change appears.
 	Lag time.Duration
 
 	mu  sync.Mutex
 	vms []VM
 }
 
-// Set replaces the list once the lag has passed.
+// Set replaces the list after Lag. It does not wait.
 func (l *VMList) Set(vms []VM) {
 	time.AfterFunc(l.Lag, func() {
 		l.mu.Lock()
@@ -35,7 +35,7 @@
 	})
 }
 
-// Handler serves GET /v1/vms.
+// Handler returns a handler that answers every request with the list.
 func (l *VMList) Handler() fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		l.mu.Lock()
@@ -45,18 +45,18 @@
 	}
 }
 
-// WeightStore serves model weights within a rate.
+// WeightStore is a stand-in for the store of model weights. Its throughput is limited.
 type WeightStore struct{ limiter *rate.Limiter }
 
-// NewWeightStore returns a store that serves so many bytes a second.
+// NewWeightStore returns a store that serves at most bytesPerSecond.
 func NewWeightStore(bytesPerSecond int) *WeightStore {
 	return &WeightStore{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), bytesPerSecond)}
 }
 
-// weightBytes is the size of every model's weights here.
+// weightBytes is the size of the weights of each model.
 const weightBytes = 64 << 10
 
-// Handler serves GET /v1/weights/{model}.
+// Handler returns a handler that answers every request with weightBytes zero bytes.
 func (s *WeightStore) Handler() fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if s.limiter.WaitN(context.Background(), weightBytes) != nil {
--- a/internal/testing/standin/service.go
+++ b/internal/testing/standin/service.go
@@ -12,28 +12,28 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ServiceFaults are switched by tests and by POST /faults.
+// ServiceFaults are the faults of a Service. Tests set them with SetFaults, other processes with POST /faults.
 type ServiceFaults struct {
-	// Refuse answers 503 before anything runs.
+	// Refuse rejects requests with 503 before they have an effect.
 	Refuse bool `json:"refuse"`
-	// HangMillis delays the answer after the effect.
+	// HangMillis delays the answer after the effect, in milliseconds.
 	HangMillis int64 `json:"hang_ms"`
-	// DropAnswer closes the connection after the effect.
+	// DropAnswer closes the connection after the effect, without an answer.
 	DropAnswer bool `json:"drop_answer"`
-	// Status replaces 200 when set.
+	// Status replaces the status 200 if it is not 0.
 	Status int `json:"status"`
 }
 
-// Effect is one request that a service ran.
+// Effect is a request that a service has executed.
 type Effect struct {
 	Path      string
 	RequestID string
 	Body      string
 }
 
-// Service is a tool service or plain service that answers with what it was sent and counts its effects.
+// Service is a stand-in for a tool service or plain service. It echoes request bodies and records the executed requests.
 type Service struct {
-	// Delay is the time that each request takes.
+	// Delay is the duration of each request.
 	Delay time.Duration
 
 	mu      sync.Mutex
@@ -41,21 +41,22 @@
 	effects []Effect
 }
 
-// SetFaults switches faults.
+// SetFaults replaces the faults.
 func (s *Service) SetFaults(faults ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Effects returns all requests that ran, in order.
+// Effects returns all executed requests in order.
 func (s *Service) Effects() []Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Effect(nil), s.effects...)
 }
 
-// Handler serves every path.
+// Handler returns the handler of the service. /faults sets faults, /effects lists the effects, and all other paths
+// execute a request.
 func (s *Service) Handler() fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		switch path := string(ctx.Path()); path {
