--- a/internal/testing/loadlog/loadlog.go
+++ b/internal/testing/loadlog/loadlog.go
@@ -1,5 +1,5 @@
-// Package loadlog works out of front daemons' logs how busy backend servers were: how many turns each had at a
-// time, and what turns took then.
+// Package loadlog derives the load of backend servers from the logs of front daemons: the number of active turns per
+// server over time, and the durations of turns.
 package loadlog
 
 import (
@@ -18,20 +18,20 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("loadlog")
 
-// Turn is the last try of a turn, as a front daemon logged it.
+// Turn is the last attempt of a turn, as logged by a front daemon.
 type Turn struct {
 	Server string
-	// Began and Ended bound the try; Arrived is when the request came.
+	// Began and Ended are the times of the attempt; Arrived is the time of the request.
 	Arrived, Began, Ended time.Time
 }
 
-// maxLine bounds a line of the log, in bytes.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 1 << 20
 
 var fieldPattern = regexp.MustCompile(`(\w+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// Read returns the turns that the lines of a log tell of. Lines of other events are passed over, and so is what
-// stands before a line's first field.
+// Read returns the turns in a log, sorted by their ends. Lines of other events are ignored, and so is any text before a
+// line's first field.
 func Read(r io.Reader) ([]Turn, error) {
 	turnIDs := map[string]bool{}
 	requests := map[string]Turn{}
@@ -77,7 +77,7 @@
 	return fields
 }
 
-// decodeRequest returns the last try of a request; false where it was never sent.
+// decodeRequest returns the last attempt of a request, or false if it was never sent.
 func decodeRequest(fields map[string]string) (Turn, bool, error) {
 	if fields["attempts"] == "" {
 		return Turn{}, false, nil
@@ -85,7 +85,7 @@
 	attempts := strings.Split(fields["attempts"], ",")
 	last := strings.Split(attempts[len(attempts)-1], "/")
 	if len(last) < 3 {
-		return Turn{}, false, Error.New("attempt %q is not server/outcome/time", attempts[len(attempts)-1])
+		return Turn{}, false, Error.New("attempt %q is not server/outcome/duration", attempts[len(attempts)-1])
 	}
 	duration, err := time.ParseDuration(last[2])
 	if err != nil {
@@ -102,11 +102,11 @@
 	return Turn{Server: last[0], Ended: ended, Began: ended.Add(-duration), Arrived: ended.Add(-time.Duration(ms) * time.Millisecond)}, true, nil
 }
 
-// Write prints a line for each step: the turns under way in all and on each server, and the median and the ninth
-// decile of what those took that ended in the step, in milliseconds.
+// Write prints a table with a line per step: the number of active turns in total and per server, and the median and the
+// 90th percentile of the durations of the turns that ended in the step, in milliseconds.
 func Write(w io.Writer, turns []Turn, step time.Duration) error {
 	if len(turns) == 0 {
-		return Error.New("the log tells of no turn")
+		return Error.New("log has no turns")
 	}
 	servers := map[string]int{}
 	for _, t := range turns {
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// activeTurns returns how many turns each server has at a time, the least busy first, and how long those took that end
-// within the step.
+// activeTurns returns the number of active turns of each server at a time, sorted, and the sorted durations of the turns
+// that end within the step.
 func activeTurns(turns []Turn, servers map[string]int, at time.Time, step time.Duration) ([]int, []time.Duration) {
 	clear(servers)
 	var durations []time.Duration
@@ -154,7 +154,7 @@
 	return counts, durations
 }
 
-// quantile returns the value below which a quantile of the sorted times lies, in milliseconds.
+// quantile returns the q-quantile of sorted durations in milliseconds, or 0 if there are none.
 func quantile(sorted []time.Duration, q float64) int64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/testing/loadlog/loadlog_test.go
+++ b/internal/testing/loadlog/loadlog_test.go
@@ -19,10 +19,10 @@
  0.1 front-2 time="2026-01-01T00:00:00.8Z" level=info msg="request ended" attempts= event=request id=c ms=600 outcome="budget spent"
 `
 
-func TestTableOfTurnsUnderWay(t *testing.T) {
+func TestTableOfActiveTurns(t *testing.T) {
 	turns, err := loadlog.Read(strings.NewReader(lines))
 	assert.NilError(t, err)
-	assert.Equal(t, len(turns), 2, "calls of tools and refused turns do not count")
+	assert.Equal(t, len(turns), 2, "tool calls and rejected turns do not count")
 	var table strings.Builder
 	assert.NilError(t, loadlog.Write(&table, turns, 500*time.Millisecond))
 	assert.Equal(t, table.String(), `second  turns  ended  p50 ms  p90 ms  turns on each server
@@ -31,7 +31,7 @@
 `)
 }
 
-func TestBadLinesAreNamed(t *testing.T) {
+func TestErrorsNameTheLine(t *testing.T) {
 	for _, bad := range []string{"attempts=s1 event=request id=a", "attempts=s1/200/soon event=request id=a",
 		"attempts=s1/200/9ms event=request id=a time=yesterday", `attempts=s1/200/9ms event=request id=a time="2026-01-01T00:00:00Z" ms=x`} {
 		_, err := loadlog.Read(strings.NewReader("\n" + bad))
--- a/internal/testing/plots/plots.go
+++ b/internal/testing/plots/plots.go
@@ -1,5 +1,5 @@
-// Package plots draws what runs of the users' bench measured: worth over time, what prices took, and cost by
-// size.
+// Package plots plots the results of benchmark runs: scores over time, mean deductions, and total deductions by the
+// number of VMs.
 package plots
 
 import (
@@ -24,27 +24,27 @@
 const (
 	width  = 9 * vg.Inch
 	height = 5 * vg.Inch
-	// minMeanDeduction is the least mean price that gets a bar of its own.
+	// minMeanDeduction is the smallest mean deduction that gets a bar.
 	minMeanDeduction = 0.0005
 )
 
-// Day is one day that was played.
+// Day is the result of one day (a test scenario) of a benchmark run.
 type Day struct {
 	At    time.Time
 	Site  string
 	Name  string
 	Score float64
-	// VMs is how many VMs of our own the day had.
+	// VMs is the number of VMs that rookpass used.
 	VMs    int
 	Failed bool
-	// Deductions are what each thing took off the worth, by its name.
+	// Deductions are the amounts deducted from the score, by name.
 	Deductions map[string]float64
 }
 
-// Draw writes the plots of days into a folder, as PNG files, and returns their names.
+// Draw writes the plots of days to a folder as PNG files and returns their names.
 func Draw(dir string, days []Day) ([]string, error) {
 	if len(days) == 0 {
-		return nil, Error.New("no days to draw")
+		return nil, Error.New("no days to plot")
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, Error.Wrap(err)
@@ -67,7 +67,7 @@
 	return files, nil
 }
 
-// groupBySite groups days, the sites in the order of their names.
+// groupBySite groups days by site and returns the sites in alphabetical order.
 func groupBySite(days []Day) (sites []string, grouped map[string][]Day) {
 	grouped = map[string][]Day{}
 	for _, d := range days {
@@ -80,10 +80,10 @@
 	return sites, grouped
 }
 
-// plotScores shows each day's plotScores at the time when it was played; broken days are red.
+// plotScores shows the score of each day over time. Days with a violated rule are red.
 func plotScores(days []Day) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "Worth of each day played", "worth, 1 at best"
+	p.Title.Text, p.Y.Label.Text = "Score of each day", "score (maximum 1)"
 	p.X.Tick.Marker = plot.TimeTicks{Format: "01-02\n15:04"}
 	p.Legend.Left = true
 	sites, grouped := groupBySite(days)
@@ -102,13 +102,13 @@
 			return nil, err
 		}
 	}
-	return p, addScatter(p, "a rule broken", broken, color.RGBA{R: 220, A: 255})
+	return p, addScatter(p, "rule violated", broken, color.RGBA{R: 220, A: 255})
 }
 
-// plotDeductions shows the mean of what each thing took off a day's worth, a group of bars a site.
+// plotDeductions shows the mean of each deduction as a group of bars per site.
 func plotDeductions(days []Day) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "What prices took off a day's worth, mean", "worth"
+	p.Title.Text, p.Y.Label.Text = "Mean deductions from the score of a day", "deduction"
 	sites, grouped := groupBySite(days)
 	means := map[string]plotter.Values{}
 	for i, site := range sites {
@@ -144,10 +144,10 @@
 	return p, nil
 }
 
-// plotCostBySize shows what all prices of a day took together, by the number of VMs.
+// plotCostBySize shows the total deductions of each day by the number of VMs.
 func plotCostBySize(days []Day) (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Cost of a day by size", "VMs", "worth taken by all prices"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Total deductions of a day by number of VMs", "VMs", "total deductions"
 	sites, grouped := groupBySite(days)
 	for i, site := range sites {
 		var points plotter.XYs
--- a/internal/testing/plots/plots_test.go
+++ b/internal/testing/plots/plots_test.go
@@ -11,7 +11,7 @@
 	"github.com/rookpass/rookpass/internal/testing/plots"
 )
 
-func TestEveryPlotIsAPicture(t *testing.T) {
+func TestDrawWritesImages(t *testing.T) {
 	at := time.Date(2026, 12, 2, 17, 0, 0, 0, time.UTC)
 	days := []plots.Day{
 		{At: at, Site: "a", Score: 0.9, VMs: 11, Deductions: map[string]float64{"calls": 0.01, "memory": 0.02, "nothing": 0}},
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestNoDaysIsAnError(t *testing.T) {
+func TestDrawWithoutDays(t *testing.T) {
 	_, err := plots.Draw(t.TempDir(), nil)
 	assert.ErrorContains(t, err, "no days")
 }
--- a/internal/testing/testbubble/testbubble.go
+++ b/internal/testing/testbubble/testbubble.go
@@ -1,4 +1,4 @@
-// Package testbubble runs tests in virtual time, with the libraries that need some care there.
+// Package testbubble runs tests in synctest bubbles, with workarounds for libraries that keep global state.
 package testbubble
 
 import (
@@ -12,12 +12,11 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/journal"
 )
 
-// settleTime is longer than any timer that a closed client or server leaves behind.
+// settleTime is longer than any timer that a closed client or server leaves running.
 const settleTime = time.Hour
 
-// Prepare must be called once for a test binary, from TestMain. Some libraries make goroutines and channels
-// for the whole process at their first use, which must not be in a bubble: fasthttp's date and the codec's
-// pool of coders.
+// Prepare must be called from TestMain. It makes libraries that start process-wide goroutines or create channels on
+// first use do so outside of a bubble: the date cache of fasthttp and the pool of the segment codec.
 func Prepare() {
 	var response fasthttp.Response
 	response.Header.Header()
@@ -26,12 +25,12 @@
 	}
 }
 
-// Run runs f in a bubble of virtual time. Once f and its cleanups are done, timers of closed clients and
-// servers run out.
+// Run runs f in a synctest bubble. After f and its cleanups it waits until the timers of closed clients and servers have
+// expired.
 func Run(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		// Cleanups run last in, first out: this one is the last.
+		// Registered first, so that it runs last.
 		t.Cleanup(func() { time.Sleep(settleTime) })
 		f(t)
 	})
