--- a/internal/order_test.go
+++ b/internal/order_test.go
@@ -14,8 +14,8 @@
 
 const importRoot = "github.com/rookpass/rookpass/internal/"
 
-// mayImport has, for each group, the groups that it may import beside itself. The order of README.md follows from it.
-var mayImport = map[string]string{
+// mayImport lists, for each group of packages, the other groups that it may import. README.md documents the order.
+var allowedImports = map[string]string{
 	"base":      "",
 	"transport": "base",
 	"objects":   "base transport",
@@ -27,18 +27,19 @@
 	"testing":   "base transport objects decide turns front node rookpassd",
 }
 
-// wrongImport tells whether a package of one group may not import a path.
-func wrongImport(group, path string) bool {
+// forbiddenImport reports whether a package of a group must not import a path.
+func forbiddenImport(group, path string) bool {
 	rest, inside := strings.CutPrefix(path, importRoot)
 	if !inside {
 		return false
 	}
 	other, _, _ := strings.Cut(rest, "/")
-	return other != group && !strings.Contains(" "+mayImport[group]+" ", " "+other+" ")
+	return other != group && !strings.Contains(" "+allowedImports[group]+" ", " "+other+" ")
 }
 
-// TestGroupsImportOnlyThoseBelow: tests may import anything.
-func TestGroupsImportOnlyThoseBelow(t *testing.T) {
+// TestImportLayers checks that packages import only their own group and those that mayImport allows. Test files may
+// import anything.
+func TestImportLayers(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -46,8 +47,8 @@
 		}
 		files++
 		group, _, _ := strings.Cut(filepath.ToSlash(path), "/")
-		_, known := mayImport[group]
-		assert.Check(t, known, "%s is in no group", path)
+		_, known := allowedImports[group]
+		assert.Check(t, known, "%s does not belong to a known group", path)
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 		if err != nil {
 			return err
@@ -55,18 +56,18 @@
 		for _, spec := range file.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
 			assert.NilError(t, err)
-			assert.Check(t, !wrongImport(group, imported), "%s imports %s", path, imported)
+			assert.Check(t, !forbiddenImport(group, imported), "%s must not import %s", path, imported)
 		}
 		return nil
 	})
 	assert.NilError(t, err)
-	assert.Assert(t, files > 100, "only %d files were looked at", files)
+	assert.Assert(t, files > 100, "only %d files were checked", files)
 }
 
-func TestOrderIsToldApart(t *testing.T) {
-	assert.Assert(t, wrongImport("base", importRoot+"front/gateway"))
-	assert.Assert(t, wrongImport("front", importRoot+"testing/workload"))
-	assert.Assert(t, !wrongImport("front", importRoot+"base/wait"))
-	assert.Assert(t, !wrongImport("front", importRoot+"front/catalog"))
-	assert.Assert(t, !wrongImport("front", "github.com/sirupsen/logrus"))
+func TestForbiddenImport(t *testing.T) {
+	assert.Assert(t, forbiddenImport("base", importRoot+"front/gateway"))
+	assert.Assert(t, forbiddenImport("front", importRoot+"testing/workload"))
+	assert.Assert(t, !forbiddenImport("front", importRoot+"base/wait"))
+	assert.Assert(t, !forbiddenImport("front", importRoot+"front/catalog"))
+	assert.Assert(t, !forbiddenImport("front", "github.com/sirupsen/logrus"))
 }
