--- a/internal/turns/turn/turn.go
+++ b/internal/turns/turn/turn.go
@@ -149,7 +149,7 @@
 	if len(d.rest) > 0 {
 		r.Server.Born = d.varint()
 	}
-	if d.bad || len(d.rest) > 0 || r.State < Reserved || r.State > Settled {
+	if d.malformed || len(d.rest) > 0 || r.State < Reserved || r.State > Settled {
 		return Record{}, Error.New("malformed record of %d bytes", len(b))
 	}
 	return r, nil
@@ -162,13 +162,13 @@
 
 // decoder reads fields one after the other; the first malformed one sets bad.
 type decoder struct {
-	rest []byte
-	bad  bool
+	rest      []byte
+	malformed bool
 }
 
 func (d *decoder) byte() byte {
 	if len(d.rest) == 0 {
-		d.bad = true
+		d.malformed = true
 		return 0
 	}
 	b := d.rest[0]
@@ -179,7 +179,7 @@
 func (d *decoder) varint() int64 {
 	n, size := binary.Varint(d.rest)
 	if size <= 0 {
-		d.bad = true
+		d.malformed = true
 		return 0
 	}
 	d.rest = d.rest[size:]
@@ -189,7 +189,7 @@
 func (d *decoder) bytes() []byte {
 	n, size := binary.Uvarint(d.rest)
 	if size <= 0 || n > uint64(len(d.rest)-size) {
-		d.bad = true
+		d.malformed = true
 		return nil
 	}
 	text := d.rest[size : size+int(n)]
--- a/internal/turns/turn/turn_test.go
+++ b/internal/turns/turn/turn_test.go
@@ -11,7 +11,7 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-func TestCodecKeepsEveryField(t *testing.T) {
+func TestCodecRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 0, 300)
 		r := turn.Record{
@@ -27,15 +27,15 @@
 	})
 }
 
-func TestOnlyVoidTurnsCountNothing(t *testing.T) {
+func TestChargedTokensByState(t *testing.T) {
 	for state, counts := range map[turn.State]int64{turn.Reserved: 5, turn.Void: 0, turn.Finished: 5, turn.Settled: 5} {
 		r := turn.Record{State: state, Tokens: 5}
 		assert.Equal(t, r.ChargedTokens(), counts, "%s", state)
 	}
 }
 
-// TestRecordsWithoutAPlaceAreRead: disks hold records of before there were places.
-func TestRecordsWithoutAPlaceAreRead(t *testing.T) {
+// TestDecodeRecordWithoutCachedPrompt: disks hold records of before there were places.
+func TestDecodeRecordWithoutCachedPrompt(t *testing.T) {
 	r := turn.Record{State: turn.Finished, ID: "id", Program: "p", Server: incarnation.ID{Server: "s"}, Tokens: 3, Output: []byte("out")}
 	before := len(r.Append(nil))
 	r.Part, r.Held = "part", 7
