--- a/internal/turns/layout/layout_test.go
+++ b/internal/turns/layout/layout_test.go
@@ -21,9 +21,9 @@
 	return l
 }
 
-// TestQuorumsMeet: two quorums of a group share a slot, and so do a quorum and as many slots of the whole as
+// TestQuorumsIntersect: two quorums of a group share a slot, and so do a quorum and as many slots of the whole as
 // must say that there is nothing.
-func TestQuorumsMeet(t *testing.T) {
+func TestQuorumsIntersect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLayout(t)
 		for i := range l.Slots {
@@ -40,9 +40,9 @@
 	})
 }
 
-// TestVacantSlotChangesOnlyItsGroups: and each of those by that one slot, so that a quorum of the slots that stay
+// TestVacatedSlotLeavesOtherGroupMembers: and each of those by that one slot, so that a quorum of the slots that stay
 // is a quorum of the group after it.
-func TestVacantSlotChangesOnlyItsGroups(t *testing.T) {
+func TestVacatedSlotLeavesOtherGroupMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLayout(t)
 		slot := rapid.IntRange(0, len(l.Slots)-1).Draw(t, "slot")
@@ -53,15 +53,15 @@
 		before := l.Group(program)
 		l.Slots[slot].Vacant = true
 		after := l.Group(program)
-		stayed := slices.DeleteFunc(slices.Clone(before), func(s int) bool { return s == slot })
-		for _, s := range stayed {
+		remaining := slices.DeleteFunc(slices.Clone(before), func(s int) bool { return s == slot })
+		for _, s := range remaining {
 			assert.Assert(t, slices.Contains(after, s), "slot %d left the group %v, now %v, with slot %d", s, before, after, slot)
 		}
 	})
 }
 
-// TestGroupsStayWhenDisksChange: a group depends on slots, not on the disks that hold them.
-func TestGroupsStayWhenDisksChange(t *testing.T) {
+// TestGroupsAreStableWhenDisksChange: a group depends on slots, not on the disks that hold them.
+func TestGroupsAreStableWhenDisksChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLayout(t)
 		program := rapid.String().Draw(t, "program")
