--- a/internal/turns/turnlog/pacer_test.go
+++ b/internal/turns/turnlog/pacer_test.go
@@ -8,19 +8,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestDiskGetsHalfOfTheTime: 2,000 appends a second to a disk that takes 2 ms a sync. Without a pause it is busy all the time,
+// TestPacerLimitsSyncsToHalfOfTheTime: 2,000 appends a second to a disk that takes 2 ms a sync. Without a pause it is busy all the time,
 // 500 syncs a second.
-func TestDiskGetsHalfOfTheTime(t *testing.T) {
+func TestPacerLimitsSyncsToHalfOfTheTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const sync = 2 * time.Millisecond
 		var p pacer
 		busy, syncs := time.Duration(0), 0
 		began := time.Now()
 		for time.Since(began) < time.Second { // something is always waiting to be written
-			time.Sleep(p.pause(time.Now()))
+			time.Sleep(p.delay(time.Now()))
 			start := time.Now()
 			time.Sleep(sync)
-			p.synced(start, time.Now())
+			p.recordSync(start, time.Now())
 			busy += sync
 			syncs++
 		}
@@ -29,27 +29,27 @@
 	})
 }
 
-func TestAppendToARestingDiskDoesNotWait(t *testing.T) {
+func TestPacerDoesNotDelayIdleDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pacer
-		assert.Equal(t, p.pause(time.Now()), time.Duration(0))
+		assert.Equal(t, p.delay(time.Now()), time.Duration(0))
 		began := time.Now()
 		time.Sleep(2 * time.Millisecond)
-		p.synced(began, time.Now())
+		p.recordSync(began, time.Now())
 		time.Sleep(500 * time.Microsecond)
-		assert.Equal(t, p.pause(time.Now()), 1500*time.Microsecond)
+		assert.Equal(t, p.delay(time.Now()), 1500*time.Microsecond)
 		time.Sleep(3 * time.Millisecond)
-		assert.Equal(t, p.pause(time.Now()), time.Duration(0))
+		assert.Equal(t, p.delay(time.Now()), time.Duration(0))
 	})
 }
 
-// TestStalledDiskPausesBriefly: a sync that took a second is no reason to wait for another one.
-func TestStalledDiskPausesBriefly(t *testing.T) {
+// TestPacerDelayIsBoundedAfterStall: a sync that took a second is no reason to wait for another one.
+func TestPacerDelayIsBoundedAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pacer
 		began := time.Now()
 		time.Sleep(time.Second)
-		p.synced(began, time.Now())
-		assert.Equal(t, p.pause(time.Now()), 10*time.Millisecond)
+		p.recordSync(began, time.Now())
+		assert.Equal(t, p.delay(time.Now()), 10*time.Millisecond)
 	})
 }
--- a/internal/turns/turnlog/turnlog.go
+++ b/internal/turns/turnlog/turnlog.go
@@ -33,12 +33,12 @@
 )
 
 const (
-	headerBytes = 8
+	frameHeaderBytes = 8
 	// maxRecordBytes bounds a frame: a larger length is a torn write.
 	maxRecordBytes = 64 << 20
-	// segmentBytes is when a new file begins, so that old ones can be removed whole.
-	segmentBytes = 8 << 20
-	suffix       = ".turns"
+	// maxSegmentBytes is when a new file begins, so that old ones can be removed whole.
+	maxSegmentBytes = 8 << 20
+	segmentSuffix   = ".turns"
 )
 
 // Position is where a record lies.
@@ -57,14 +57,14 @@
 	// pending gathers the appends that come while the disk is busy. Its file is the active one; it is made when
 	// the first batch is written to it.
 	pending *batch
-	// unsettled counts each file's appends whose caller has not yet said that it is done with them.
-	unsettled map[uint32]int
-	wake      chan struct{}
-	failed    error
-	closed    bool
-	bytes     int64
-	done      chan struct{}
-	pacer     pacer // of the committing goroutine
+	// unreleased counts each file's appends whose caller has not yet said that it is done with them.
+	unreleased map[uint32]int
+	wake       chan struct{}
+	failed     error
+	closed     bool
+	bytes      int64
+	done       chan struct{}
+	pacer      pacer // of the committing goroutine
 }
 
 // batch is the appends that wait for one sync, and where they go.
@@ -72,14 +72,14 @@
 	segment uint32
 	offset  int64
 	data    []byte
-	ready   chan struct{}
+	synced  chan struct{}
 	err     error
 }
 
-// next returns the batch behind b: in the same file, or in the next one where that file is full.
-func (b *batch) next() *batch {
-	n := &batch{segment: b.segment, offset: b.offset + int64(len(b.data)), ready: make(chan struct{})}
-	if n.offset >= segmentBytes {
+// following returns the batch behind b: in the same file, or in the following one where that file is full.
+func (b *batch) following() *batch {
+	n := &batch{segment: b.segment, offset: b.offset + int64(len(b.data)), synced: make(chan struct{})}
+	if n.offset >= maxSegmentBytes {
 		n.segment, n.offset = b.segment+1, 0
 	}
 	return n
@@ -91,24 +91,24 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	l := &Log{dir: dir, files: map[uint32]*os.File{}, unsettled: map[uint32]int{}, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	numbers, err := segments(dir)
+	l := &Log{dir: dir, files: map[uint32]*os.File{}, unreleased: map[uint32]int{}, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	numbers, err := listSegments(dir)
 	if err != nil {
 		return nil, err
 	}
 	newest := uint32(0)
 	for _, number := range numbers {
-		if err := l.load(number, replay); err != nil {
+		if err := l.loadSegment(number, replay); err != nil {
 			return nil, err
 		}
 		newest = number
 	}
-	l.pending = &batch{segment: newest + 1, ready: make(chan struct{})}
-	go l.commit()
+	l.pending = &batch{segment: newest + 1, synced: make(chan struct{})}
+	go l.commitLoop()
 	return l, nil
 }
 
-func segments(dir string) ([]uint32, error) {
+func listSegments(dir string) ([]uint32, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -116,7 +116,7 @@
 	var numbers []uint32
 	for _, entry := range entries {
 		var number uint32
-		if filepath.Ext(entry.Name()) != suffix {
+		if filepath.Ext(entry.Name()) != segmentSuffix {
 			continue
 		}
 		if _, err := fmt.Sscanf(entry.Name(), "%08x", &number); err != nil {
@@ -128,12 +128,12 @@
 	return numbers, nil
 }
 
-func (l *Log) path(segment uint32) string {
-	return filepath.Join(l.dir, fmt.Sprintf("%08x%s", segment, suffix))
+func (l *Log) segmentPath(segment uint32) string {
+	return filepath.Join(l.dir, fmt.Sprintf("%08x%s", segment, segmentSuffix))
 }
 
-func (l *Log) load(segment uint32, replay func(turn.Record, Position)) error {
-	file, err := os.Open(l.path(segment))
+func (l *Log) loadSegment(segment uint32, replay func(turn.Record, Position)) error {
+	file, err := os.Open(l.segmentPath(segment))
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -141,31 +141,31 @@
 	if err != nil {
 		return Error.Wrap(errors.Join(err, file.Close()))
 	}
-	if _, _, ok := frameAt(data); !ok {
-		return Error.Wrap(errors.Join(file.Close(), os.Remove(l.path(segment))))
+	if _, _, ok := decodeFrame(data); !ok {
+		return Error.Wrap(errors.Join(file.Close(), os.Remove(l.segmentPath(segment))))
 	}
 	l.files[segment] = file
 	l.bytes += int64(len(data))
 	for offset := 0; ; {
-		record, length, ok := frameAt(data[offset:])
+		record, length, ok := decodeFrame(data[offset:])
 		if !ok {
 			return nil
 		}
-		replay(record, Position{Segment: segment, Offset: int64(offset + headerBytes), Length: length})
-		offset += headerBytes + length
+		replay(record, Position{Segment: segment, Offset: int64(offset + frameHeaderBytes), Length: length})
+		offset += frameHeaderBytes + length
 	}
 }
 
-// frameAt decodes the frame at the start of data.
-func frameAt(data []byte) (turn.Record, int, bool) {
-	if len(data) < headerBytes {
+// decodeFrame decodes the frame at the start of data.
+func decodeFrame(data []byte) (turn.Record, int, bool) {
+	if len(data) < frameHeaderBytes {
 		return turn.Record{}, 0, false
 	}
 	length := int(binary.LittleEndian.Uint32(data))
-	if length == 0 || length > maxRecordBytes || length > len(data)-headerBytes {
+	if length == 0 || length > maxRecordBytes || length > len(data)-frameHeaderBytes {
 		return turn.Record{}, 0, false
 	}
-	body := data[headerBytes : headerBytes+length]
+	body := data[frameHeaderBytes : frameHeaderBytes+length]
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(data[4:]) {
 		return turn.Record{}, 0, false
 	}
@@ -173,15 +173,15 @@
 	return record, length, err == nil
 }
 
-// file returns the file of a segment. A new one's name lasts once the folder is synced.
-func (l *Log) file(segment uint32) (*os.File, error) {
+// segmentFile returns the segmentFile of a segment. A new one's name lasts once the folder is synced.
+func (l *Log) segmentFile(segment uint32) (*os.File, error) {
 	l.mu.Lock()
 	file := l.files[segment]
 	l.mu.Unlock()
 	if file != nil {
 		return file, nil
 	}
-	file, err := os.OpenFile(l.path(segment), os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o644)
+	file, err := os.OpenFile(l.segmentPath(segment), os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o644)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -203,17 +203,17 @@
 }
 
 // Wait returns once the record is on the disk.
-func (t PendingAppend) Wait() error {
-	<-t.batch.ready
-	return t.batch.err
+func (p PendingAppend) Wait() error {
+	<-p.batch.synced
+	return p.batch.err
 }
 
 // Release lets the record's file be removed: until then nobody else may know that the record is there.
-func (t PendingAppend) Release() {
-	t.log.mu.Lock()
-	defer t.log.mu.Unlock()
-	if t.log.unsettled[t.Position.Segment]--; t.log.unsettled[t.Position.Segment] <= 0 {
-		delete(t.log.unsettled, t.Position.Segment)
+func (p PendingAppend) Release() {
+	p.log.mu.Lock()
+	defer p.log.mu.Unlock()
+	if p.log.unreleased[p.Position.Segment]--; p.log.unreleased[p.Position.Segment] <= 0 {
+		delete(p.log.unreleased, p.Position.Segment)
 	}
 }
 
@@ -222,17 +222,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.pending
-	l.unsettled[b.segment]++
+	l.unreleased[b.segment]++
 	if l.closed {
 		return PendingAppend{Position: Position{Segment: b.segment}, log: l, batch: b}
 	}
 	start := len(b.data)
-	b.data = append(b.data, make([]byte, headerBytes)...)
+	b.data = append(b.data, make([]byte, frameHeaderBytes)...)
 	b.data = record.Append(b.data)
-	body := b.data[start+headerBytes:]
+	body := b.data[start+frameHeaderBytes:]
 	binary.LittleEndian.PutUint32(b.data[start:], uint32(len(body)))
 	binary.LittleEndian.PutUint32(b.data[start+4:], crc32.ChecksumIEEE(body))
-	position := Position{Segment: b.segment, Offset: b.offset + int64(start) + headerBytes, Length: len(body)}
+	position := Position{Segment: b.segment, Offset: b.offset + int64(start) + frameHeaderBytes, Length: len(body)}
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -240,36 +240,36 @@
 	return PendingAppend{Position: position, log: l, batch: b}
 }
 
-// commit writes what is pending, again and again. After a failure nothing more is taken: what the disk holds is
+// commitLoop writes what is pending, again and again. After a failure nothing more is taken: what the disk holds is
 // then unknown until the next start.
-func (l *Log) commit() {
+func (l *Log) commitLoop() {
 	defer close(l.done)
 	for range l.wake {
-		time.Sleep(l.pacer.pause(time.Now()))
+		time.Sleep(l.pacer.delay(time.Now()))
 		l.mu.Lock()
 		b := l.pending
-		l.pending = b.next() // appends from here on lie behind this batch
+		l.pending = b.following() // appends from here on lie behind this batch
 		l.bytes += int64(len(b.data))
 		b.err = l.failed
 		l.mu.Unlock()
 		if b.err == nil && len(b.data) > 0 {
 			began := time.Now()
-			b.err = l.write(b)
-			l.pacer.synced(began, time.Now())
+			b.err = l.writeBatch(b)
+			l.pacer.recordSync(began, time.Now())
 		}
 		l.mu.Lock()
 		l.failed = b.err
 		l.mu.Unlock()
-		close(b.ready)
+		close(b.synced)
 	}
 	l.mu.Lock()
 	l.pending.err = ErrClosed
-	close(l.pending.ready)
+	close(l.pending.synced)
 	l.mu.Unlock()
 }
 
-func (l *Log) write(b *batch) error {
-	file, err := l.file(b.segment)
+func (l *Log) writeBatch(b *batch) error {
+	file, err := l.segmentFile(b.segment)
 	if err != nil {
 		return err
 	}
@@ -303,7 +303,7 @@
 
 // Syncs returns how often the disk was synced, and the time that it took in all.
 func (l *Log) Syncs() (n int64, busy time.Duration) {
-	return l.pacer.syncs.Load(), time.Duration(l.pacer.busy.Load())
+	return l.pacer.syncCount.Load(), time.Duration(l.pacer.syncNanos.Load())
 }
 
 // ActiveSegment returns the file that appends go to.
@@ -317,7 +317,7 @@
 func (l *Log) RemoveSegment(segment uint32) error {
 	l.mu.Lock()
 	file := l.files[segment]
-	if segment == l.pending.segment || l.unsettled[segment] > 0 {
+	if segment == l.pending.segment || l.unreleased[segment] > 0 {
 		l.mu.Unlock()
 		return ErrInUse
 	}
@@ -330,7 +330,7 @@
 		l.bytes -= info.Size()
 	}
 	l.mu.Unlock()
-	return Error.Wrap(errors.Join(file.Close(), os.Remove(l.path(segment))))
+	return Error.Wrap(errors.Join(file.Close(), os.Remove(l.segmentPath(segment))))
 }
 
 // Close ends the log. Appends that still wait fail. Closing again does nothing.
--- a/internal/turns/turnlog/turnlog_test.go
+++ b/internal/turns/turnlog/turnlog_test.go
@@ -15,12 +15,12 @@
 	"github.com/rookpass/rookpass/internal/turns/turnlog"
 )
 
-func record(id string) turn.Record {
+func newRecord(id string) turn.Record {
 	return turn.Record{State: turn.Finished, ID: id, Program: "p", Previous: "before", Tokens: 7, Retention: time.Minute,
 		Input: []byte("input " + id), Output: []byte("output " + id + "\n"), Server: incarnation.ID{Server: "s"}}
 }
 
-func open(t *testing.T, dir string) (*turnlog.Log, []turn.Record) {
+func openLog(t *testing.T, dir string) (*turnlog.Log, []turn.Record) {
 	t.Helper()
 	var found []turn.Record
 	l, err := turnlog.Open(dir, func(r turn.Record, _ turnlog.Position) { found = append(found, r) })
@@ -28,34 +28,34 @@
 	return l, found
 }
 
-func TestRecordsOutliveTheProcess(t *testing.T) {
+func TestRecordsSurviveReopen(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir)
+	l, _ := openLog(t, dir)
 	var wg sync.WaitGroup
 	for i := range 50 {
 		wg.Go(func() {
-			r := record(fmt.Sprint(i))
-			ticket := l.Append(&r)
-			assert.Check(t, ticket.Wait())
-			back, err := l.Read(ticket.Position)
+			r := newRecord(fmt.Sprint(i))
+			pending := l.Append(&r)
+			assert.Check(t, pending.Wait())
+			back, err := l.Read(pending.Position)
 			assert.Check(t, err)
 			assert.Check(t, string(back.Input) == string(r.Input))
 		})
 	}
 	wg.Wait()
 	assert.NilError(t, l.Close())
-	l, found := open(t, dir)
+	l, found := openLog(t, dir)
 	defer func() { assert.NilError(t, l.Close()) }()
 	assert.Equal(t, len(found), 50)
 }
 
-// TestTornTailIsPassedOver cuts and spoils the file at every byte of its last record: the records before it
+// TestTornTailIsIgnored cuts and spoils the file at every byte of its last record: the records before it
 // stay, and what is appended later is found behind.
-func TestTornTailIsPassedOver(t *testing.T) {
+func TestTornTailIsIgnored(t *testing.T) {
 	source := t.TempDir()
-	l, _ := open(t, source)
+	l, _ := openLog(t, source)
 	for _, id := range []string{"one", "two"} {
-		r := record(id)
+		r := newRecord(id)
 		assert.NilError(t, l.Append(&r).Wait())
 	}
 	assert.NilError(t, l.Close())
@@ -64,21 +64,21 @@
 	whole, err := os.ReadFile(files[0])
 	assert.NilError(t, err)
 	for cut := len(whole) / 2; cut < len(whole); cut++ {
-		for _, spoil := range []bool{false, true} {
+		for _, corrupt := range []bool{false, true} {
 			dir := t.TempDir()
 			torn := append([]byte(nil), whole...)
-			if spoil {
+			if corrupt {
 				torn[cut] ^= 0x40
 			} else {
 				torn = torn[:cut]
 			}
 			assert.NilError(t, os.WriteFile(filepath.Join(dir, filepath.Base(files[0])), torn, 0o644))
-			l, found := open(t, dir)
-			assert.Equal(t, len(found), 1, "cut at %d, spoilt %t", cut, spoil)
-			r := record("three")
+			l, found := openLog(t, dir)
+			assert.Equal(t, len(found), 1, "cut at %d, spoilt %t", cut, corrupt)
+			r := newRecord("three")
 			assert.NilError(t, l.Append(&r).Wait())
 			assert.NilError(t, l.Close())
-			l, found = open(t, dir)
+			l, found = openLog(t, dir)
 			assert.Equal(t, len(found), 2)
 			assert.Equal(t, found[1].ID, "three")
 			assert.NilError(t, l.Close())
@@ -86,15 +86,15 @@
 	}
 }
 
-func TestFilesRotateAndGo(t *testing.T) {
+func TestSegmentsRotateAndAreRemoved(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir)
-	big := record("big")
+	l, _ := openLog(t, dir)
+	big := newRecord("big")
 	big.Input = make([]byte, 3<<20)
 	for range 4 {
-		ticket := l.Append(&big)
-		assert.NilError(t, ticket.Wait())
-		ticket.Release()
+		pending := l.Append(&big)
+		assert.NilError(t, pending.Wait())
+		pending.Release()
 	}
 	first, active := uint32(1), l.ActiveSegment()
 	assert.Assert(t, active > first)
@@ -104,11 +104,11 @@
 	assert.NilError(t, l.Close())
 }
 
-// TestFilesRotateUnderLoad: also where some append waits at every moment.
-func TestFilesRotateUnderLoad(t *testing.T) {
+// TestSegmentsRotateUnderLoad: also where some append waits at every moment.
+func TestSegmentsRotateUnderLoad(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, dir)
-	big := record("big")
+	l, _ := openLog(t, dir)
+	big := newRecord("big")
 	big.Input = make([]byte, 1<<20)
 	const appends = 40
 	var waiting []turnlog.PendingAppend
@@ -123,39 +123,39 @@
 		assert.Equal(t, len(back.Input), len(big.Input))
 		waiting = waiting[1:]
 	}
-	for _, ticket := range waiting {
-		assert.NilError(t, ticket.Wait())
+	for _, pending := range waiting {
+		assert.NilError(t, pending.Wait())
 	}
 	assert.Assert(t, l.ActiveSegment() >= 4, "active file %d", l.ActiveSegment())
 	assert.NilError(t, l.Close())
-	l, found := open(t, dir)
+	l, found := openLog(t, dir)
 	assert.Equal(t, len(found), appends)
 	assert.NilError(t, l.Close())
 }
 
-// TestFileWithUnsettledAppendStays: its record is on the disk, but the caller has not yet noted where.
-func TestFileWithUnsettledAppendStays(t *testing.T) {
-	l, _ := open(t, t.TempDir())
+// TestSegmentWithUnreleasedAppendIsNotRemoved: its record is on the disk, but the caller has not yet noted where.
+func TestSegmentWithUnreleasedAppendIsNotRemoved(t *testing.T) {
+	l, _ := openLog(t, t.TempDir())
 	defer func() { assert.NilError(t, l.Close()) }()
-	big := record("big")
+	big := newRecord("big")
 	big.Input = make([]byte, 9<<20)
-	ticket := l.Append(&big)
-	assert.NilError(t, ticket.Wait())
-	assert.Assert(t, l.ActiveSegment() > ticket.Position.Segment)
-	assert.ErrorIs(t, l.RemoveSegment(ticket.Position.Segment), turnlog.ErrInUse)
-	ticket.Release()
-	assert.NilError(t, l.RemoveSegment(ticket.Position.Segment))
+	pending := l.Append(&big)
+	assert.NilError(t, pending.Wait())
+	assert.Assert(t, l.ActiveSegment() > pending.Position.Segment)
+	assert.ErrorIs(t, l.RemoveSegment(pending.Position.Segment), turnlog.ErrInUse)
+	pending.Release()
+	assert.NilError(t, l.RemoveSegment(pending.Position.Segment))
 }
 
-// TestEmptyFilesGo: a process that wrote nothing leaves nothing behind.
-func TestEmptyFilesGo(t *testing.T) {
+// TestEmptySegmentsAreRemoved: a process that wrote nothing leaves nothing behind.
+func TestEmptySegmentsAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	for range 5 {
-		l, _ := open(t, dir)
+		l, _ := openLog(t, dir)
 		assert.NilError(t, l.Close())
 	}
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, "00000007.turns"), []byte{9, 0, 0, 0, 1, 2}, 0o644))
-	l, found := open(t, dir)
+	l, found := openLog(t, dir)
 	assert.NilError(t, l.Close())
 	assert.Equal(t, len(found), 0)
 	files, err := filepath.Glob(filepath.Join(dir, "*.turns"))
@@ -163,9 +163,9 @@
 	assert.Equal(t, len(files), 0)
 }
 
-func TestClosedLogTakesNothing(t *testing.T) {
-	l, _ := open(t, t.TempDir())
+func TestAppendAfterCloseFails(t *testing.T) {
+	l, _ := openLog(t, t.TempDir())
 	assert.NilError(t, l.Close())
-	r := record("late")
+	r := newRecord("late")
 	assert.ErrorIs(t, l.Append(&r).Wait(), turnlog.ErrClosed)
 }
