--- a/internal/turns/ledger/cache.go
+++ b/internal/turns/ledger/cache.go
@@ -7,42 +7,42 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// recordOverhead is about what a cached record takes beside its texts.
-const recordOverhead = 300
+// recordOverheadBytes is about what a cached record takes beside its texts.
+const recordOverheadBytes = 300
 
-// cache keeps the turns used last, up to a number of bytes.
-type cache struct {
-	limit int
+// turnCache keeps the turns used last, up to a number of bytes.
+type turnCache struct {
+	limitBytes int
 
-	mu    sync.Mutex
-	size  int
-	order *list.List // of *turn.Record, the one used last in front
-	byID  map[string]*list.Element
+	mu        sync.Mutex
+	sizeBytes int
+	order     *list.List // of *turn.Record, the one used last in front
+	byID      map[string]*list.Element
 }
 
-func newCache(limit int) *cache {
-	return &cache{limit: limit, order: list.New(), byID: map[string]*list.Element{}}
+func newTurnCache(limit int) *turnCache {
+	return &turnCache{limitBytes: limit, order: list.New(), byID: map[string]*list.Element{}}
 }
 
-func cost(r *turn.Record) int { return len(r.Input) + len(r.Output) + recordOverhead }
+func cachedBytes(r *turn.Record) int { return len(r.Input) + len(r.Output) + recordOverheadBytes }
 
-func (c *cache) add(r *turn.Record) {
+func (c *turnCache) add(r *turn.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.byID[r.ID] != nil {
 		return
 	}
 	c.byID[r.ID] = c.order.PushFront(r)
-	c.size += cost(r)
-	for c.size > c.limit && c.order.Len() > 0 {
+	c.sizeBytes += cachedBytes(r)
+	for c.sizeBytes > c.limitBytes && c.order.Len() > 0 {
 		last := c.order.Back()
 		old := c.order.Remove(last).(*turn.Record)
 		delete(c.byID, old.ID)
-		c.size -= cost(old)
+		c.sizeBytes -= cachedBytes(old)
 	}
 }
 
-func (c *cache) get(id string) *turn.Record {
+func (c *turnCache) get(id string) *turn.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.byID[id]
--- a/internal/turns/ledger/chain.go
+++ b/internal/turns/ledger/chain.go
@@ -25,7 +25,7 @@
 			next = record.Previous
 			continue
 		}
-		found, err := l.fetchUntil(ctx, program, next)
+		found, err := l.fetchWithRetry(ctx, program, next)
 		if errors.Is(err, ErrTurnNotFound) && len(chain) > 0 {
 			return nil, fmt.Errorf("%w: turn %s before %s", ErrUnavailable, next, id)
 		}
@@ -42,21 +42,21 @@
 	return chain, nil
 }
 
-// fetchUntil asks again while too few disks answer, until ctx ends.
-func (l *Ledger) fetchUntil(ctx context.Context, program, id string) ([]turn.Record, error) {
+// fetchWithRetry asks again while too few disks answer, until ctx ends.
+func (l *Ledger) fetchWithRetry(ctx context.Context, program, id string) ([]turn.Record, error) {
 	for {
 		found, err := l.fetch(ctx, program, id)
 		if err == nil || errors.Is(err, ErrTurnNotFound) || ctx.Err() != nil {
 			return found, err
 		}
-		if waitErr := wait.For(ctx, retryPause); waitErr != nil {
+		if waitErr := wait.For(ctx, retryInterval); waitErr != nil {
 			return nil, err
 		}
 	}
 }
 
-// part is one disk's answer to a fetch.
-type part struct {
+// fetchResult is one disk's answer to a fetch.
+type fetchResult struct {
 	slot  int
 	reply *replica.FetchReply
 	err   error
@@ -74,61 +74,61 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	group := current.Group(program)
-	order := l.everySlot(current, group)
-	answers := make(chan part, len(order))
-	ask := func(slot int) {
+	order := l.allSlotsNearestFirst(current, group)
+	results := make(chan fetchResult, len(order))
+	startFetch := func(slot int) {
 		disk := current.Slots[slot].Disk
 		args := &replica.FetchArgs{Target: replica.Target{Disk: disk.ID, Epoch: current.Epoch}, ID: id}
 		go func() {
-			p := part{slot: slot}
-			p.reply, p.err = peerlink.Call[replica.FetchReply](ctx, l.links.LinkTo(disk.Address), replica.ServiceName+".Fetch", args)
-			answers <- p
+			result := fetchResult{slot: slot}
+			result.reply, result.err = peerlink.Call[replica.FetchReply](ctx, l.links.LinkTo(disk.Address), replica.ServiceName+".Fetch", args)
+			results <- result
 		}()
 	}
-	asked := 0
-	askNext := func() {
-		if asked < len(order) {
-			ask(order[asked])
-			asked++
+	started := 0
+	startNext := func() {
+		if started < len(order) {
+			startFetch(order[started])
+			started++
 		}
 	}
-	askNext()
+	startNext()
 	hedge := time.NewTicker(hedgeDelay)
 	defer hedge.Stop()
 	absent, answered := 0, 0
-	var problem error
+	var lastErr error
 	for answered < len(order) {
 		select {
 		case <-hedge.C:
-			askNext()
-		case p := <-answers:
+			startNext()
+		case result := <-results:
 			answered++
-			if p.err != nil {
-				problem = p.err
-			} else if err := l.judge(p.reply.Header); err != nil {
-				problem = err
-			} else if len(p.reply.Chain) > 0 {
-				return p.reply.Chain, nil
-			} else if p.reply.Header.Complete {
+			if result.err != nil {
+				lastErr = result.err
+			} else if err := l.checkHeader(result.reply.Header); err != nil {
+				lastErr = err
+			} else if len(result.reply.Chain) > 0 {
+				return result.reply.Chain, nil
+			} else if result.reply.Header.Complete {
 				absent++
 			}
 			if absent >= current.AbsenceQuorum() {
 				return nil, ErrTurnNotFound
 			}
-			askNext()
-			for absent >= len(group) && asked < len(order) {
-				askNext()
+			startNext()
+			for absent >= len(group) && started < len(order) {
+				startNext()
 			}
 		case <-ctx.Done():
 			return nil, errors.Join(ErrUnavailable, ctx.Err())
 		}
 	}
-	return nil, errors.Join(ErrUnavailable, problem)
+	return nil, errors.Join(ErrUnavailable, lastErr)
 }
 
-// everySlot returns all slots: those of a group first, and of those the nearest.
-func (l *Ledger) everySlot(current *layout.Layout, group []int) []int {
-	order := l.nearestFirst(current, group)
+// allSlotsNearestFirst returns all slots: those of a group first, and of those the nearest.
+func (l *Ledger) allSlotsNearestFirst(current *layout.Layout, group []int) []int {
+	order := l.sortNearestFirst(current, group)
 	for slot := range current.Slots {
 		if !current.Slots[slot].Vacant && !slices.Contains(order, slot) {
 			order = append(order, slot)
@@ -137,17 +137,17 @@
 	return order
 }
 
-// beingGivenUp is farther away than any data centre.
-const beingGivenUp = int(place.OtherRegion) + 1
+// departingDistance is farther away than any data centre.
+const departingDistance = int(place.OtherRegion) + 1
 
-// nearestFirst sorts slots: the nearest first, those that are being given up last.
-func (l *Ledger) nearestFirst(current *layout.Layout, slots []int) []int {
+// sortNearestFirst sorts slots: the nearest first, those that are being given up last.
+func (l *Ledger) sortNearestFirst(current *layout.Layout, slots []int) []int {
 	distance := func(i int) int {
 		slot := current.Slots[i]
 		if slot.Joining != nil || slot.Leaving {
-			return beingGivenUp
+			return departingDistance
 		}
-		return int(l.place.DistanceTo(slot.Disk.DataCentre))
+		return int(l.topology.DistanceTo(slot.Disk.DataCentre))
 	}
 	slices.SortStableFunc(slots, func(a, b int) int { return distance(a) - distance(b) })
 	return slots
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -45,9 +45,9 @@
 	tolerance int
 	dir       string
 	nodes     map[string]*daemon
-	// lives counts a node's disks: an empty one is another folder, so that what a killed daemon still writes does
+	// diskGenerations counts a node's disks: an empty one is another folder, so that what a killed daemon still writes does
 	// not come to it.
-	lives map[string]int
+	diskGenerations map[string]int
 
 	mu       sync.Mutex
 	retiring map[string]bool
@@ -68,30 +68,30 @@
 		log.SetOutput(os.Stderr)
 	}
 	c := &cluster{t: t, fabric: memnet.New(), api: apitest.New(memapi.New()), log: log, tolerance: tolerance,
-		dir: t.TempDir(), nodes: map[string]*daemon{}, lives: map[string]int{}, retiring: map[string]bool{}, reported: map[string]string{}}
+		dir: t.TempDir(), nodes: map[string]*daemon{}, diskGenerations: map[string]int{}, retiring: map[string]bool{}, reported: map[string]string{}}
 	t.Cleanup(func() {
 		for name := range c.nodes {
 			c.kill(name)
 		}
 	})
 	for i := range disks {
-		c.start(node(i), true)
+		c.start(nodeName(i), true)
 	}
-	c.eventually(func() bool { return c.current() != nil })
+	c.waitUntil(func() bool { return c.layout() != nil })
 	return c
 }
 
-func node(i int) string { return fmt.Sprintf("store-%d", i) }
+func nodeName(i int) string { return fmt.Sprintf("store-%d", i) }
 
-func (c *cluster) folder(name string) string {
-	return filepath.Join(c.dir, fmt.Sprint(name, ".", c.lives[name]))
+func (c *cluster) dataDir(name string) string {
+	return filepath.Join(c.dir, fmt.Sprint(name, ".", c.diskGenerations[name]))
 }
 
 // start runs a store daemon on what its folder holds.
 func (c *cluster) start(name string, first bool) {
 	c.fabric.Restart(name)
 	dial := dialFrom(c.fabric, name)
-	store, err := replica.OpenStore(c.folder(name), layout.Disk{Node: name, Address: name + ":1", DataCentre: name}, c.log.WithField("node", name))
+	store, err := replica.OpenStore(c.dataDir(name), layout.Disk{Node: name, Address: name + ":1", DataCentre: name}, c.log.WithField("node", name))
 	assert.NilError(c.t, err)
 	controller := replica.NewController(replica.Options{Store: store, API: c.api, Links: peerlink.NewSet(dial), Retirements: retirements{c},
 		Log: c.log.WithField("node", name), LayoutKey: layoutKey, CandidatesPrefix: "rookpass-disks/", FirstStart: first, Tolerance: c.tolerance})
@@ -105,7 +105,7 @@
 	}()
 	var running sync.WaitGroup // both write to the daemon's folder
 	running.Go(func() {
-		_ = watch.New(watch.NewSharedSource(c.api), 0, observer{controller}).WithPollTimeout(time.Second).Run(ctx)
+		_ = watch.New(watch.NewSharedSource(c.api), 0, layoutHandler{controller}).WithPollTimeout(time.Second).Run(ctx)
 	})
 	running.Go(func() { _ = controller.Run(ctx) })
 	go func() {
@@ -127,10 +127,10 @@
 // wipe kills a daemon and takes its disk's content away.
 func (c *cluster) wipe(name string) {
 	c.kill(name)
-	c.lives[name]++
+	c.diskGenerations[name]++
 }
 
-func (c *cluster) current() *layout.Layout {
+func (c *cluster) layout() *layout.Layout {
 	object, err := c.api.Get(context.Background(), layoutKey)
 	if err != nil {
 		return nil
@@ -143,7 +143,7 @@
 // holders returns the nodes that hold slots.
 func (c *cluster) holders() map[string]bool {
 	nodes := map[string]bool{}
-	for _, slot := range c.current().Slots {
+	for _, slot := range c.layout().Slots {
 		if slot.Joining == nil && !slot.Vacant {
 			nodes[slot.Disk.Node] = true
 		}
@@ -151,10 +151,10 @@
 	return nodes
 }
 
-// settled waits until every slot is held by a disk that runs.
-func (c *cluster) settled() {
-	c.eventually(func() bool {
-		for _, slot := range c.current().Slots {
+// awaitAllSlotsHeld waits until every slot is held by a disk that runs.
+func (c *cluster) awaitAllSlotsHeld() {
+	c.waitUntil(func() bool {
+		for _, slot := range c.layout().Slots {
 			if slot.Vacant {
 				continue
 			}
@@ -167,7 +167,7 @@
 	})
 }
 
-func (c *cluster) eventually(holds func() bool) {
+func (c *cluster) waitUntil(holds func() bool) {
 	c.t.Helper()
 	for range 600 {
 		if holds() {
@@ -181,7 +181,7 @@
 // ledger returns a ledger on a host of its own that knows the layout in force.
 func (c *cluster) ledger(host string) *ledger.Ledger {
 	l := ledger.New(peerlink.NewSet(dialFrom(c.fabric, host)), place.Topology{DataCentre: host}, 1, c.log)
-	l.UpdateLayout(c.current())
+	l.UpdateLayout(c.layout())
 	c.t.Cleanup(func() { assert.NilError(c.t, l.Flush(context.Background())) })
 	return l
 }
@@ -190,18 +190,18 @@
 	return func(ctx context.Context, _, address string) (net.Conn, error) { return fabric.Dial(ctx, host, address) }
 }
 
-// observer hands the layout to a controller.
-type observer struct{ controller *replica.Controller }
+// layoutHandler hands the layout to a controller.
+type layoutHandler struct{ controller *replica.Controller }
 
-func (o observer) Prefix() string { return "rookpass-layout/" }
-func (o observer) Reset(objects []objectapi.Object, _ uint64) {
+func (o layoutHandler) Prefix() string { return "rookpass-layout/" }
+func (o layoutHandler) Reset(objects []objectapi.Object, _ uint64) {
 	for _, object := range objects {
 		o.controller.ObserveLayout(object)
 	}
 }
-func (o observer) Change(event objectapi.Event) { o.controller.ObserveLayout(event.Object) }
-func (o observer) Confirm(uint64, time.Time)    {}
-func (o observer) SourceUnavailable()           {}
+func (o layoutHandler) Change(event objectapi.Event) { o.controller.ObserveLayout(event.Object) }
+func (o layoutHandler) Confirm(uint64, time.Time)    {}
+func (o layoutHandler) SourceUnavailable()           {}
 
 // retirements implements replica.Retirements by the cluster's maps.
 type retirements struct{ c *cluster }
@@ -219,12 +219,12 @@
 	return nil
 }
 
-func finished(program, id, previous, text string) *turn.Record {
+func finishedTurn(program, id, previous, text string) *turn.Record {
 	return &turn.Record{State: turn.Finished, ID: id, Program: program, Previous: previous, Tokens: 10,
 		Retention: time.Minute, Input: []byte("in " + text), Output: []byte("out " + text + "\n")}
 }
 
-func reserved(program, id string, tokens int64) *turn.Record {
+func reservedTurn(program, id string, tokens int64) *turn.Record {
 	return &turn.Record{State: turn.Reserved, ID: id, Program: program, Tokens: tokens, Retention: time.Minute}
 }
 
@@ -235,21 +235,21 @@
 	c.retiring[node] = true
 }
 
-// unretire withdraws it.
-func (c *cluster) unretire(node string) {
+// cancelRetirement withdraws it.
+func (c *cluster) cancelRetirement(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.retiring, node)
 }
 
-// told returns what was reported of a node's retirement.
-func (c *cluster) told(node string) string {
+// retirementState returns what was reported of a node's retirement.
+func (c *cluster) retirementState(node string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reported[node]
 }
 
-func within(t *testing.T, d time.Duration) context.Context {
+func contextWithTimeout(t *testing.T, d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	t.Cleanup(cancel)
 	return ctx
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -33,36 +33,36 @@
 	// callTimeout bounds one call to a disk. A quorum gathered within it can't hold an acknowledgement of a
 	// disk that was lost and has already been copied anew: a VM takes longer to start.
 	callTimeout = time.Second
-	// retryPause is the time between two tries to reach a quorum; each asks every disk of the group.
-	retryPause = 60 * time.Millisecond
-	// allGrace is how much longer than for a quorum a reservation waits for the other disks: asking again
+	// retryInterval is the time between two tries to reach a quorum; each asks every disk of the group.
+	retryInterval = 60 * time.Millisecond
+	// fullGroupGrace is how much longer than for a quorum a reservation waits for the other disks: asking again
 	// takes a trip to another data centre and back, 3 ms.
-	allGrace = 5 * time.Millisecond
-	// spareDelay is when a whole turn's record goes to the disks that were spared: many times a usual answer, also of another
+	fullGroupGrace = 5 * time.Millisecond
+	// fallbackDelay is when a whole turn's record goes to the disks that were spared: many times a usual answer, also of another
 	// region's disk. Sooner, disks that are busy would get more to do for it.
-	spareDelay = 100 * time.Millisecond
-	// spareMemory is for how long a disk that has not answered is asked after all others.
-	spareMemory = 3 * time.Second
+	fallbackDelay = 100 * time.Millisecond
+	// failureMemory is for how long a disk that has not answered is asked after all others.
+	failureMemory = 3 * time.Second
 	// hedgeDelay is when a fetch asks the other disks too: ten times a usual answer of the nearest.
 	hedgeDelay = 20 * time.Millisecond
 )
 
 // Ledger talks to the disks. Use New.
 type Ledger struct {
-	links  *peerlink.Pool
-	log    logrus.FieldLogger
-	place  place.Topology
-	layout atomic.Pointer[layout.Layout]
-	cache  *cache
-	// failed has when a disk, by its ID, last did not answer.
-	failed sync.Map
+	links    *peerlink.Pool
+	log      logrus.FieldLogger
+	topology place.Topology
+	layout   atomic.Pointer[layout.Layout]
+	cache    *turnCache
+	// lastFailure has when a disk, by its ID, last did not answer.
+	lastFailure sync.Map
 	// background are the writes that go on after their quorum.
 	background sync.WaitGroup
 }
 
 // New returns a ledger of a daemon at a place. cacheBytes bounds the turns kept in memory.
-func New(links *peerlink.Pool, at place.Topology, cacheBytes int, log logrus.FieldLogger) *Ledger {
-	return &Ledger{links: links, place: at, cache: newCache(cacheBytes), log: log}
+func New(links *peerlink.Pool, topology place.Topology, cacheBytes int, log logrus.FieldLogger) *Ledger {
+	return &Ledger{links: links, topology: topology, cache: newTurnCache(cacheBytes), log: log}
 }
 
 // UpdateLayout takes a layout over if it is newer than the one in use.
@@ -101,28 +101,28 @@
 	if err != nil {
 		return ProgramUsage{}, err
 	}
-	if !r.all() {
-		again, err := l.write(ctx, record, true)
+	if !r.complete() {
+		second, err := l.write(ctx, record, true)
 		if err != nil {
 			return ProgramUsage{}, err
 		}
-		for _, e := range again.known {
-			merge(r.known, e)
+		for _, e := range second.turns {
+			mergeEntry(r.turns, e)
 		}
 	}
-	account := ProgramUsage{CachedPrompts: r.places, TimeBudget: r.aim, Turns: len(r.known)}
-	if _, known := r.known[record.ID]; known {
-		account.Turns--
+	usage := ProgramUsage{CachedPrompts: r.cachedPrompts, TimeBudget: r.timeBudget, Turns: len(r.turns)}
+	if _, known := r.turns[record.ID]; known {
+		usage.Turns--
 	}
-	for id, e := range r.known {
+	for id, e := range r.turns {
 		if id != record.ID {
-			account.Spent += e.Tokens
+			usage.Spent += e.Tokens
 		}
 	}
-	if account.Spent+record.Tokens > budget {
-		return account, ErrBudgetExceeded
+	if usage.Spent+record.Tokens > budget {
+		return usage, ErrBudgetExceeded
 	}
-	return account, nil
+	return usage, nil
 }
 
 // ProgramUsage is what the disks know of a program.
@@ -163,77 +163,77 @@
 
 // write sends a record to the disks of its group until a quorum has it. With account the answers tell what the
 // disks know of the program.
-func (l *Ledger) write(ctx context.Context, record *turn.Record, account bool) (*round, error) {
+func (l *Ledger) write(ctx context.Context, record *turn.Record, wantUsage bool) (*writeRound, error) {
 	var lastErr error
 	for ctx.Err() == nil {
 		current := l.layout.Load()
 		if current == nil {
 			return nil, ErrUnavailable
 		}
-		round := l.send(ctx, current, record, account)
-		err := round.gather(ctx, l, account)
+		r := l.send(ctx, current, record, wantUsage)
+		err := r.collect(ctx, l, wantUsage)
 		if err == nil {
-			return round, nil
+			return r, nil
 		}
 		lastErr = err
 		if l.layout.Load() == current {
-			_ = wait.For(ctx, retryPause)
+			_ = wait.For(ctx, retryInterval)
 		}
 	}
 	return nil, errors.Join(ErrUnavailable, lastErr)
 }
 
-// ack is one disk's answer to a write.
-type ack struct {
+// writeResult is one disk's answer to a write.
+type writeResult struct {
 	slot  int
 	reply *replica.WriteReply
 	err   error
 }
 
-// round is one asking of the disks of a group.
-type round struct {
-	answers chan ack
+// writeRound is one asking of the disks of a group.
+type writeRound struct {
+	results chan writeResult
 	sent    int
-	// spared asks the disks that were left out at first; nil where there are none.
-	spared func()
-	// open counts, for each slot, the disks that have not yet said that they hold the record: two while
+	// fallback asks the disks that were left out at first; nil where there are none.
+	fallback func()
+	// unacknowledged counts, for each slot, the disks that have not yet said that they hold the record: two while
 	// another disk takes the slot over.
-	open   map[int]int
-	held   int
-	quorum int
-	known  map[string]replica.BudgetEntry
-	places []turn.CachedPrompt
-	aim    time.Duration
+	unacknowledged map[int]int
+	acknowledged   int
+	quorum         int
+	turns          map[string]replica.BudgetEntry
+	cachedPrompts  []turn.CachedPrompt
+	timeBudget     time.Duration
 }
 
-func (r *round) all() bool { return r.held == len(r.open) }
+func (r *writeRound) complete() bool { return r.acknowledged == len(r.unacknowledged) }
 
 // send asks the disks of the record's group. A whole turn's record goes to the nearest quorum of them alone, and to the rest
 // only where those do not all answer soon: it holds all that was said, and its way may be long. All else goes to each. The
 // calls go on after the round has been left.
-func (l *Ledger) send(ctx context.Context, current *layout.Layout, record *turn.Record, account bool) *round {
-	group := l.nearestFirst(current, current.Group(record.Program))
-	r := &round{answers: make(chan ack, 2*len(group)), open: map[int]int{}, quorum: current.Quorum(), known: map[string]replica.BudgetEntry{}}
-	ask := func(slot int, disk layout.Disk) {
+func (l *Ledger) send(ctx context.Context, current *layout.Layout, record *turn.Record, wantUsage bool) *writeRound {
+	group := l.sortNearestFirst(current, current.Group(record.Program))
+	r := &writeRound{results: make(chan writeResult, 2*len(group)), unacknowledged: map[int]int{}, quorum: current.Quorum(), turns: map[string]replica.BudgetEntry{}}
+	startWrite := func(slot int, disk layout.Disk) {
 		r.sent++
-		r.open[slot]++
+		r.unacknowledged[slot]++
 		args := &replica.WriteArgs{Target: replica.Target{Disk: disk.ID, Epoch: current.Epoch}, Record: *record,
-			Entries: account, Places: account && slot == group[0]}
+			Entries: wantUsage, Places: wantUsage && slot == group[0]}
 		l.background.Go(func() {
 			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 			defer cancel()
-			a := ack{slot: slot}
-			a.reply, a.err = peerlink.Call[replica.WriteReply](callCtx, l.links.LinkTo(disk.Address), replica.ServiceName+".Write", args)
-			l.noteAnswer(disk.ID, a.err)
-			r.answers <- a
+			result := writeResult{slot: slot}
+			result.reply, result.err = peerlink.Call[replica.WriteReply](callCtx, l.links.LinkTo(disk.Address), replica.ServiceName+".Write", args)
+			l.recordCallResult(disk.ID, result.err)
+			r.results <- result
 		})
 	}
-	askAll := func(slots []int) {
+	startWrites := func(slots []int) {
 		for _, slot := range slots {
-			place := current.Slots[slot]
-			ask(slot, place.Disk)
-			if place.Joining != nil {
-				ask(slot, *place.Joining)
+			assignment := current.Slots[slot]
+			startWrite(slot, assignment.Disk)
+			if assignment.Joining != nil {
+				startWrite(slot, *assignment.Joining)
 			}
 		}
 	}
@@ -242,106 +242,106 @@
 	first := len(group)
 	if record.State == turn.Finished {
 		first = min(first, current.Quorum())
-		l.silentLast(current, group)
+		l.sortFailedLast(current, group)
 	}
-	askAll(group[:first])
+	startWrites(group[:first])
 	if rest := group[first:]; len(rest) > 0 {
-		r.spared = func() { askAll(rest) }
+		r.fallback = func() { startWrites(rest) }
 	}
 	return r
 }
 
-// noteAnswer remembers whether a disk has answered.
-func (l *Ledger) noteAnswer(disk string, err error) {
+// recordCallResult remembers whether a disk has answered.
+func (l *Ledger) recordCallResult(disk string, err error) {
 	if err != nil {
-		l.failed.Store(disk, time.Now())
+		l.lastFailure.Store(disk, time.Now())
 	} else {
-		l.failed.Delete(disk)
+		l.lastFailure.Delete(disk)
 	}
 }
 
-// silentLast puts the slots last whose disks have not answered of late.
-func (l *Ledger) silentLast(current *layout.Layout, group []int) {
-	silent := func(slot int) int {
-		at, failed := l.failed.Load(current.Slots[slot].Disk.ID)
-		if failed && time.Since(at.(time.Time)) < spareMemory {
+// sortFailedLast puts the slots last whose disks have not answered of late.
+func (l *Ledger) sortFailedLast(current *layout.Layout, group []int) {
+	recentlyFailed := func(slot int) int {
+		at, failed := l.lastFailure.Load(current.Slots[slot].Disk.ID)
+		if failed && time.Since(at.(time.Time)) < failureMemory {
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(group, func(a, b int) int { return silent(a) - silent(b) })
+	slices.SortStableFunc(group, func(a, b int) int { return recentlyFailed(a) - recentlyFailed(b) })
 }
 
-// gather takes answers until a quorum holds the record; with patience, also for allGrace longer until all do.
-func (r *round) gather(ctx context.Context, l *Ledger, patience bool) error {
+// collect takes answers until a quorum holds the record; with patience, also for allGrace longer until all do.
+func (r *writeRound) collect(ctx context.Context, l *Ledger, waitForAll bool) error {
 	var grace <-chan time.Time
-	var problem error
-	spare := time.NewTimer(spareDelay)
-	defer spare.Stop()
+	var lastErr error
+	fallbackTimer := time.NewTimer(fallbackDelay)
+	defer fallbackTimer.Stop()
 	for answered := 0; answered < r.sent; {
 		select {
-		case a := <-r.answers:
+		case result := <-r.results:
 			answered++
-			if err := r.take(l, a); err != nil {
-				problem = err
-				r.askSpared()
+			if err := r.addResult(l, result); err != nil {
+				lastErr = err
+				r.startFallback()
 			}
-		case <-spare.C:
-			r.askSpared()
+		case <-fallbackTimer.C:
+			r.startFallback()
 			continue
 		case <-grace:
 			return nil
 		case <-ctx.Done():
-			if r.held >= r.quorum {
+			if r.acknowledged >= r.quorum {
 				return nil
 			}
 			return ctx.Err()
 		}
-		if r.all() || r.held >= r.quorum && !patience {
+		if r.complete() || r.acknowledged >= r.quorum && !waitForAll {
 			return nil
 		}
-		if r.held >= r.quorum && grace == nil {
-			timer := time.NewTimer(allGrace)
+		if r.acknowledged >= r.quorum && grace == nil {
+			timer := time.NewTimer(fullGroupGrace)
 			defer timer.Stop()
 			grace = timer.C
 		}
 	}
-	if r.held >= r.quorum {
+	if r.acknowledged >= r.quorum {
 		return nil
 	}
-	return errors.Join(ErrUnavailable, problem)
+	return errors.Join(ErrUnavailable, lastErr)
 }
 
-// askSpared asks the disks that were left out at first.
-func (r *round) askSpared() {
-	if r.spared != nil {
-		r.spared()
-		r.spared = nil
+// startFallback asks the disks that were left out at first.
+func (r *writeRound) startFallback() {
+	if r.fallback != nil {
+		r.fallback()
+		r.fallback = nil
 	}
 }
 
-// take counts one answer.
-func (r *round) take(l *Ledger, a ack) error {
-	if a.err != nil {
-		return a.err
+// addResult counts one answer.
+func (r *writeRound) addResult(l *Ledger, result writeResult) error {
+	if result.err != nil {
+		return result.err
 	}
-	if err := l.judge(a.reply.Header); err != nil {
+	if err := l.checkHeader(result.reply.Header); err != nil {
 		return err
 	}
-	for _, e := range a.reply.Entries {
-		merge(r.known, e)
+	for _, e := range result.reply.Entries {
+		mergeEntry(r.turns, e)
 	}
-	r.aim = max(r.aim, a.reply.Aim)
-	r.places = append(r.places, a.reply.Places...)
-	r.open[a.slot]--
-	if r.open[a.slot] == 0 {
-		r.held++
+	r.timeBudget = max(r.timeBudget, result.reply.Aim)
+	r.cachedPrompts = append(r.cachedPrompts, result.reply.Places...)
+	r.unacknowledged[result.slot]--
+	if r.unacknowledged[result.slot] == 0 {
+		r.acknowledged++
 	}
 	return nil
 }
 
-// judge turns a disk's answer into an error, and learns the layout that it brings.
-func (l *Ledger) judge(header replica.Header) error {
+// checkHeader turns a disk's answer into an error, and learns the layout that it brings.
+func (l *Ledger) checkHeader(header replica.Header) error {
 	if header.Layout != nil {
 		l.UpdateLayout(header.Layout)
 	}
@@ -349,7 +349,7 @@
 	case replica.OK:
 		return nil
 	case replica.StaleLayout:
-		return errStale
+		return errStaleLayout
 	case replica.WrongDisk:
 		return errWrongDisk
 	default:
@@ -358,14 +358,14 @@
 }
 
 var (
-	errStale      = errors.New("layout is out of date")
-	errWrongDisk  = errors.New("another disk answers at the address")
-	errDiskFailed = errors.New("disk failed")
+	errStaleLayout = errors.New("layout is out of date")
+	errWrongDisk   = errors.New("another disk answers at the address")
+	errDiskFailed  = errors.New("disk failed")
 )
 
-// merge adds an entry to those known; a later state of a turn wins.
-func merge(known map[string]replica.BudgetEntry, e replica.BudgetEntry) {
-	if e.State > known[e.ID].State {
-		known[e.ID] = e
+// mergeEntry adds an entry to those known; a later state of a turn wins.
+func mergeEntry(turns map[string]replica.BudgetEntry, e replica.BudgetEntry) {
+	if e.State > turns[e.ID].State {
+		turns[e.ID] = e
 	}
 }
--- a/internal/turns/ledger/losses_test.go
+++ b/internal/turns/ledger/losses_test.go
@@ -20,56 +20,56 @@
 func TestTwoDisksLostAtOnce(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 8, 2)
-		keep(t, c.ledger("front-1"), programs)
-		c.wipe(node(1))
-		c.wipe(node(6))
-		c.start(node(1), false)
-		c.start(node(6), false)
-		c.settled()
-		c.kill(node(0))
-		c.kill(node(4))
-		check(t, c.ledger("front-2"), programs)
+		finishTurns(t, c.ledger("front-1"), programCount)
+		c.wipe(nodeName(1))
+		c.wipe(nodeName(6))
+		c.start(nodeName(1), false)
+		c.start(nodeName(6), false)
+		c.awaitAllSlotsHeld()
+		c.kill(nodeName(0))
+		c.kill(nodeName(4))
+		checkTurns(t, c.ledger("front-2"), programCount)
 	})
 }
 
-// TestRandomLosses: disks are lost, killed, cut off, replaced and added in a random order, never more at once
+// TestRandomFaults: disks are lost, killed, cut off, replaced and added in a random order, never more at once
 // than is borne; turns are kept meanwhile. At the end every turn that was acknowledged is there.
-func TestRandomLosses(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(25) {
 		size := []struct{ disks, tolerance int }{{3, 1}, {4, 1}, {7, 2}, {6, 1}, {8, 2}}[seed%5]
 		t.Run(fmt.Sprint("seed ", seed, " ", size), func(t *testing.T) {
-			testbubble.Run(t, func(t *testing.T) { randomLosses(t, seed, size.disks, size.tolerance) })
+			testbubble.Run(t, func(t *testing.T) { runRandomFaults(t, seed, size.disks, size.tolerance) })
 		})
 	}
 }
 
-func randomLosses(t *testing.T, seed uint64, disks, tolerance int) {
+func runRandomFaults(t *testing.T, seed uint64, disks, tolerance int) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	c := newCluster(t, disks, tolerance)
 	l := c.ledger("front-1")
-	spares, kept := 0, map[string]string{}
+	spares, acknowledged := 0, map[string]string{}
 	for step := range 8 {
-		strike(c, r, r.IntN(tolerance)+1, &spares)
+		injectFaults(c, r, r.IntN(tolerance)+1, &spares)
 		for i := range 3 {
 			id := fmt.Sprintf("p%d-%d", step, i)
 			// A turn that is refused or unsure is no loss; one that was acknowledged must stay.
-			if err := l.Finish(within(t, 5*time.Second), finished(id, id, "", id)); err == nil {
-				kept[id] = "in " + id + "|out " + id + "\n"
+			if err := l.Finish(contextWithTimeout(t, 5*time.Second), finishedTurn(id, id, "", id)); err == nil {
+				acknowledged[id] = "in " + id + "|out " + id + "\n"
 			}
 		}
-		c.settled()
+		c.awaitAllSlotsHeld()
 	}
-	assert.Assert(t, len(kept) >= 20, "%d of 24 turns were kept", len(kept))
+	assert.Assert(t, len(acknowledged) >= 20, "%d of 24 turns were kept", len(acknowledged))
 	reader := c.ledger("front-2")
-	for id, text := range kept {
-		assert.Equal(t, texts(t, reader, id, id), text)
+	for id, text := range acknowledged {
+		assert.Equal(t, chainText(t, reader, id, id), text)
 	}
-	_, err := reader.Chain(within(t, time.Second), "p", "nowhere")
+	_, err := reader.Chain(contextWithTimeout(t, time.Second), "p", "nowhere")
 	assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 }
 
-// strike lets something happen to up to count holders of slots.
-func strike(c *cluster, r *rand.Rand, count int, spares *int) {
+// injectFaults lets something happen to up to count holders of slots.
+func injectFaults(c *cluster, r *rand.Rand, count int, spares *int) {
 	var holders []string
 	for name := range c.holders() {
 		holders = append(holders, name)
@@ -93,17 +93,17 @@
 			time.Sleep(time.Second)
 			c.fabric.Heal("front-1", name)
 		case 4: // emptied, then gone for good
-			if c.mayLeave(name) {
+			if c.canVacate(name) {
 				c.retire(name)
-				c.eventually(func() bool { return c.told(name) == "done" })
+				c.waitUntil(func() bool { return c.retirementState(name) == "done" })
 				c.wipe(name)
 			}
 		}
 	}
 }
 
-// mayLeave tells whether a holder of a slot can be emptied without a spare.
-func (c *cluster) mayLeave(name string) bool {
-	l := c.current()
+// canVacate tells whether a holder of a slot can be emptied without a spare.
+func (c *cluster) canVacate(name string) bool {
+	l := c.layout()
 	return l.CanVacate(slices.IndexFunc(l.Slots, func(s layout.Slot) bool { return s.Disk.Node == name }))
 }
--- a/internal/turns/ledger/quorumwrite_test.go
+++ b/internal/turns/ledger/quorumwrite_test.go
@@ -18,45 +18,45 @@
 func (c *cluster) holdersOf(program, id string) []string {
 	var holders []string
 	for i := range 64 {
-		d := c.nodes[node(i)]
+		d := c.nodes[nodeName(i)]
 		if d == nil {
 			continue
 		}
 		for _, e := range d.store.Turns(program) {
 			if e.ID == id && e.State == turn.Finished {
-				holders = append(holders, node(i))
+				holders = append(holders, nodeName(i))
 			}
 		}
 	}
 	return holders
 }
 
-// regional returns a ledger on a host in region a, which has the nodes of even numbers.
-func (c *cluster) regional(host string, disks int) *ledger.Ledger {
+// regionalLedger returns a ledger on a host in region a, which has the nodes of even numbers.
+func (c *cluster) regionalLedger(host string, disks int) *ledger.Ledger {
 	regions := map[string]string{host: "a"}
 	for i := range disks {
-		regions[node(i)] = []string{"a", "b"}[i%2]
+		regions[nodeName(i)] = []string{"a", "b"}[i%2]
 	}
 	l := ledger.New(peerlink.NewSet(dialFrom(c.fabric, host)), place.Topology{DataCentre: host, Regions: regions}, 1, c.log)
-	l.UpdateLayout(c.current())
-	c.t.Cleanup(func() { assert.NilError(c.t, l.Flush(within(c.t, time.Minute))) })
+	l.UpdateLayout(c.layout())
+	c.t.Cleanup(func() { assert.NilError(c.t, l.Flush(contextWithTimeout(c.t, time.Minute))) })
 	return l
 }
 
-// TestWholeTurnsGoToTheNearestQuorum: what was said takes the shortest ways that make it durable, and no more.
-func TestWholeTurnsGoToTheNearestQuorum(t *testing.T) {
+// TestFinishedTurnsGoToNearestQuorum: what was said takes the shortest ways that make it durable, and no more.
+func TestFinishedTurnsGoToNearestQuorum(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		const disks = 10
 		c := newCluster(t, disks, 2)
-		l := c.regional("front-1", disks)
-		keep(t, l, programs)
-		assert.NilError(t, l.Flush(within(t, time.Minute)))
-		for i := range programs {
+		l := c.regionalLedger("front-1", disks)
+		finishTurns(t, l, programCount)
+		assert.NilError(t, l.Flush(contextWithTimeout(t, time.Minute)))
+		for i := range programCount {
 			program := fmt.Sprint("p", i)
 			inRegion := 0
-			for _, slot := range c.current().Group(program) {
+			for _, slot := range c.layout().Group(program) {
 				var n int
-				_, err := fmt.Sscanf(c.current().Slots[slot].Disk.Node, "store-%d", &n)
+				_, err := fmt.Sscanf(c.layout().Slots[slot].Disk.Node, "store-%d", &n)
 				assert.NilError(t, err)
 				inRegion += 1 - n%2
 			}
@@ -71,51 +71,51 @@
 			}
 			assert.Equal(t, near, min(3, inRegion), "%v", holders)
 		}
-		check(t, c.regional("front-2", disks), programs)
+		checkTurns(t, c.regionalLedger("front-2", disks), programCount)
 	})
 }
 
-// TestSparedDisksStandIn: for one that is dark, once it has not answered for a while; the next turns do not wait for it.
-func TestSparedDisksStandIn(t *testing.T) {
+// TestFallbackDisksReplaceUnresponsiveDisk: for one that is dark, once it has not answered for a while; the next turns do not wait for it.
+func TestFallbackDisksReplaceUnresponsiveDisk(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 5, 2)
 		l := c.ledger("front-1")
-		assert.NilError(t, l.Finish(within(t, time.Second), finished("p", "first", "", "first")))
-		dark := c.holdersOf("p", "first")[0]
-		c.fabric.Freeze(dark)
-		defer c.fabric.Thaw(dark)
+		assert.NilError(t, l.Finish(contextWithTimeout(t, time.Second), finishedTurn("p", "first", "", "first")))
+		unresponsive := c.holdersOf("p", "first")[0]
+		c.fabric.Freeze(unresponsive)
+		defer c.fabric.Thaw(unresponsive)
 		began := time.Now()
-		assert.NilError(t, l.Finish(within(t, time.Second), finished("p", "second", "first", "second")))
+		assert.NilError(t, l.Finish(contextWithTimeout(t, time.Second), finishedTurn("p", "second", "first", "second")))
 		assert.Assert(t, time.Since(began) <= 150*time.Millisecond, "%v", time.Since(began))
 		time.Sleep(time.Second) // the dark disk's call has ended
 		began = time.Now()
-		assert.NilError(t, l.Finish(within(t, time.Second), finished("p", "third", "second", "third")))
+		assert.NilError(t, l.Finish(contextWithTimeout(t, time.Second), finishedTurn("p", "third", "second", "third")))
 		assert.Assert(t, time.Since(began) <= 50*time.Millisecond, "%v", time.Since(began))
 		assert.Assert(t, len(c.holdersOf("p", "third")) >= 3)
 	})
 }
 
-// TestTurnsOutliveTheLossOfTwoOfTheirThreeDisks: whichever two they are, and whatever else starts again meanwhile.
-func TestTurnsOutliveTheLossOfTwoOfTheirThreeDisks(t *testing.T) {
-	for _, spared := range []int{0, 1, 2} {
+// TestTurnsSurviveLossOfTwoOfThreeDisks: whichever two they are, and whatever else starts again meanwhile.
+func TestTurnsSurviveLossOfTwoOfThreeDisks(t *testing.T) {
+	for _, survivor := range []int{0, 1, 2} {
 		testbubble.Run(t, func(t *testing.T) {
 			c := newCluster(t, 7, 2)
-			keep(t, c.ledger("front-1"), programs)
-			assert.NilError(t, c.ledger("front-1").Flush(within(t, time.Minute)))
+			finishTurns(t, c.ledger("front-1"), programCount)
+			assert.NilError(t, c.ledger("front-1").Flush(contextWithTimeout(t, time.Minute)))
 			holders := c.holdersOf("p1", "p1-b")
 			assert.Equal(t, len(holders), 3)
 			for i, holder := range holders {
-				if i != spared {
+				if i != survivor {
 					c.wipe(holder)
 				}
 			}
 			for i, holder := range holders {
-				if i != spared {
+				if i != survivor {
 					c.start(holder, false)
 				}
 			}
-			c.settled()
-			check(t, c.ledger("front-2"), programs)
+			c.awaitAllSlotsHeld()
+			checkTurns(t, c.ledger("front-2"), programCount)
 			// Their copies are whole again: two more may go.
 			again := c.holdersOf("p1", "p1-b")
 			assert.Assert(t, len(again) >= 3, "%v", again)
