--- a/internal/turns/replica/bootstrap.go
+++ b/internal/turns/replica/bootstrap.go
@@ -15,76 +15,76 @@
 )
 
 const (
-	// formSettle is the time from a disk's entry until it looks who else has come. VMs start within 0.3 s of each
+	// registrationDelay is the time from a disk's entry until it looks who else has come. VMs start within 0.3 s of each
 	// other, their daemons a while later.
-	formSettle = 1200 * time.Millisecond
-	// formAgain is the time until the second look, which must show the same disks.
-	formAgain = 500 * time.Millisecond
-	// formTurn is how much longer each further disk waits for the layout before it makes one itself.
-	formTurn = time.Second
+	registrationDelay = 1200 * time.Millisecond
+	// recheckDelay is the time until the second look, which must show the same disks.
+	recheckDelay = 500 * time.Millisecond
+	// writerStagger is how much longer each further disk waits for the layout before it makes one itself.
+	writerStagger = time.Second
 )
 
-// forming is how far a disk has come with the first layout.
-type forming struct {
-	entered bool
-	// look is when to look who has come, seen what the last look showed.
-	look time.Time
-	seen []layout.Disk
+// bootstrapState is how far a disk has come with the first layout.
+type bootstrapState struct {
+	registered bool
+	// nextCheck is when to nextCheck who has come, seen what the last nextCheck showed.
+	nextCheck time.Time
+	lastSeen  []layout.Disk
 }
 
-// form makes the first layout. Each disk enters itself as an object of its own, so that many do not get into each
+// formLayout makes the first layout. Each disk enters itself as an object of its own, so that many do not get into each
 // other's way; the first of them, by name, writes the layout once a second look shows no further disk. Where
 // it does not, the next one does.
-func (c *Controller) form(ctx context.Context) error {
+func (c *Controller) formLayout(ctx context.Context) error {
 	if !c.firstStart {
 		return nil
 	}
-	f := &c.forming
-	if !f.entered {
-		return c.enter(ctx)
+	f := &c.bootstrap
+	if !f.registered {
+		return c.register(ctx)
 	}
-	if time.Now().Before(f.look) {
+	if time.Now().Before(f.nextCheck) {
 		return nil
 	}
-	disks, err := c.entries(ctx)
+	disks, err := c.registeredDisks(ctx)
 	if err != nil {
 		return err
 	}
-	place := slices.Index(disks, c.store.Self())
-	if place < 0 {
-		f.entered = false // the entry was never carried out
+	rank := slices.Index(disks, c.store.Self())
+	if rank < 0 {
+		f.registered = false // the entry was never carried out
 		return nil
 	}
-	settled := slices.Equal(disks, f.seen)
-	first := f.seen == nil
-	f.seen, f.look = disks, time.Now().Add(formAgain)
+	unchanged := slices.Equal(disks, f.lastSeen)
+	first := f.lastSeen == nil
+	f.lastSeen, f.nextCheck = disks, time.Now().Add(recheckDelay)
 	switch {
-	case first && place > 0:
-		f.look = f.look.Add(time.Duration(place) * formTurn)
-	case settled || place > 0:
-		return c.put(ctx, c.firstLayout(disks))
+	case first && rank > 0:
+		f.nextCheck = f.nextCheck.Add(time.Duration(rank) * writerStagger)
+	case unchanged || rank > 0:
+		return c.putLayout(ctx, c.initialLayout(disks))
 	}
 	return nil
 }
 
-// enter writes this disk's entry.
-func (c *Controller) enter(ctx context.Context) error {
+// register writes this disk's entry.
+func (c *Controller) register(ctx context.Context) error {
 	self := c.store.Self()
 	value, err := json.Marshal(self)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	_, err = c.api.Put(ctx, c.candidates+self.Node, value, objectapi.MustNotExist)
+	_, err = c.api.Put(ctx, c.candidatesPrefix+self.Node, value, objectapi.MustNotExist)
 	if err != nil && !errors.Is(err, objectapi.ErrConflict) {
 		return err
 	}
-	c.forming.entered, c.forming.look = true, time.Now().Add(formSettle)
+	c.bootstrap.registered, c.bootstrap.nextCheck = true, time.Now().Add(registrationDelay)
 	return nil
 }
 
-// entries returns the disks that have entered themselves, in the order of their names.
-func (c *Controller) entries(ctx context.Context) ([]layout.Disk, error) {
-	snapshot, err := c.api.List(ctx, c.candidates)
+// registeredDisks returns the disks that have entered themselves, in the order of their names.
+func (c *Controller) registeredDisks(ctx context.Context) ([]layout.Disk, error) {
+	snapshot, err := c.api.List(ctx, c.candidatesPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 	return disks, nil
 }
 
-func (c *Controller) firstLayout(disks []layout.Disk) *layout.Layout {
+func (c *Controller) initialLayout(disks []layout.Disk) *layout.Layout {
 	l := &layout.Layout{Epoch: 1, Tolerance: c.tolerance}
 	for _, disk := range disks {
 		l.Slots = append(l.Slots, layout.Slot{DataCentre: disk.DataCentre, Disk: disk})
--- a/internal/turns/replica/controller.go
+++ b/internal/turns/replica/controller.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// stepPause is the time between two looks at the layout.
-	stepPause = 200 * time.Millisecond
+	// stepInterval is the time between two looks at the layout.
+	stepInterval = 200 * time.Millisecond
 )
 
 // Retirements tells which VMs' disks are to be emptied, and takes word of it.
@@ -30,25 +30,25 @@
 
 // Controller keeps a disk's place in the layout. Use NewController, then Run.
 type Controller struct {
-	store       *Store
-	api         objectapi.API
-	links       *peerlink.Pool
-	place       place.Topology
-	retirements Retirements
-	log         logrus.FieldLogger
-	key         string
-	candidates  string
-	firstStart  bool
-	tolerance   int
-	diskBytes   int64
-
-	mu      sync.Mutex
-	version uint64
-
-	forming     forming
-	silentSince map[string]time.Time
-	reported    string
-	cleaned     time.Time
+	store            *Store
+	api              objectapi.API
+	links            *peerlink.Pool
+	topology         place.Topology
+	retirements      Retirements
+	log              logrus.FieldLogger
+	layoutKey        string
+	candidatesPrefix string
+	firstStart       bool
+	tolerance        int
+	diskBytes        int64
+
+	mu            sync.Mutex
+	layoutVersion uint64
+
+	bootstrap         bootstrapState
+	unresponsiveSince map[string]time.Time
+	reportedState     string
+	lastClean         time.Time
 	// retiringSince is since when this disk waits to give its slot up; zero where it does not.
 	retiringSince time.Time
 }
@@ -74,8 +74,8 @@
 
 // NewController returns the controller of a store.
 func NewController(o Options) *Controller {
-	return &Controller{store: o.Store, api: o.API, links: o.Links, place: o.Topology, retirements: o.Retirements, log: o.Log, key: o.LayoutKey, candidates: o.CandidatesPrefix,
-		firstStart: o.FirstStart, tolerance: o.Tolerance, diskBytes: o.DiskBytes, silentSince: map[string]time.Time{}}
+	return &Controller{store: o.Store, api: o.API, links: o.Links, topology: o.Topology, retirements: o.Retirements, log: o.Log, layoutKey: o.LayoutKey, candidatesPrefix: o.CandidatesPrefix,
+		firstStart: o.FirstStart, tolerance: o.Tolerance, diskBytes: o.DiskBytes, unresponsiveSince: map[string]time.Time{}}
 }
 
 // ObserveLayout takes the layout's object over from a watch.
@@ -86,8 +86,8 @@
 		return
 	}
 	c.mu.Lock()
-	if object.Version > c.version {
-		c.version = object.Version
+	if object.Version > c.layoutVersion {
+		c.layoutVersion = object.Version
 	}
 	c.mu.Unlock()
 	c.store.UpdateLayout(l)
@@ -100,7 +100,7 @@
 			c.log.WithFields(logrus.Fields{"event": "layout-step", "error": err}).Warn("layout step failed; tried again")
 		}
 		c.clean(time.Now())
-		_ = wait.For(ctx, stepPause)
+		_ = wait.For(ctx, stepInterval)
 	}
 	return ctx.Err()
 }
@@ -108,14 +108,14 @@
 func (c *Controller) step(ctx context.Context) error {
 	l := c.store.Layout()
 	if l == nil {
-		return c.form(ctx)
+		return c.formLayout(ctx)
 	}
 	self := c.store.Self()
 	if err := c.reportRetirement(ctx, l); err != nil {
 		return err
 	}
 	if slot := l.SlotOf(self.ID); slot >= 0 {
-		return c.keepOrGiveUp(ctx, l, slot)
+		return c.keepOrVacate(ctx, l, slot)
 	}
 	if slot := l.SlotJoinedBy(self.ID); slot >= 0 {
 		return c.takeOver(ctx, l, slot)
@@ -123,7 +123,7 @@
 	if c.retirements.Retiring(self.Node) {
 		return nil
 	}
-	slot := c.vacant(ctx, l)
+	slot := c.findSlot(ctx, l)
 	if slot < 0 {
 		return nil
 	}
@@ -131,37 +131,37 @@
 	next.Slots[slot].Joining, next.Slots[slot].Leaving = &self, false
 	c.log.WithFields(logrus.Fields{"event": "slot-join", "slot": slot, "from_node": l.Slots[slot].Disk.Node,
 		"retiring": c.retirements.Retiring(l.Slots[slot].Disk.Node), "epoch": next.Epoch}).Info("taking a slot over")
-	return c.put(ctx, next)
+	return c.putLayout(ctx, next)
 }
 
-// keepOrGiveUp looks after the slot that this disk holds.
-func (c *Controller) keepOrGiveUp(ctx context.Context, l *layout.Layout, slot int) error {
+// keepOrVacate looks after the slot that this disk holds.
+func (c *Controller) keepOrVacate(ctx context.Context, l *layout.Layout, slot int) error {
 	switch {
 	case l.Slots[slot].Joining != nil:
 		return nil // another disk takes it over
 	case c.retirements.Retiring(c.store.Self().Node):
-		return c.giveUp(ctx, l, slot)
+		return c.vacate(ctx, l, slot)
 	default:
-		return c.stay(ctx, l, slot)
+		return c.cancelVacating(ctx, l, slot)
 	}
 }
 
-// put replaces the layout if it is still the one that this disk knows.
-func (c *Controller) put(ctx context.Context, next *layout.Layout) error {
+// putLayout replaces the layout if it is still the one that this disk knows.
+func (c *Controller) putLayout(ctx context.Context, next *layout.Layout) error {
 	value, err := next.Encode()
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	version := c.version
+	version := c.layoutVersion
 	c.mu.Unlock()
-	object, err := c.api.Put(ctx, c.key, value, version)
+	object, err := c.api.Put(ctx, c.layoutKey, value, version)
 	if err == nil {
 		c.ObserveLayout(object)
 		return nil
 	}
 	// A conflict or a lost answer: what stands there now decides the next step.
-	current, readErr := c.api.Get(ctx, c.key)
+	current, readErr := c.api.Get(ctx, c.layoutKey)
 	if readErr == nil {
 		c.ObserveLayout(current)
 	}
@@ -175,7 +175,7 @@
 func (c *Controller) reportRetirement(ctx context.Context, l *layout.Layout) error {
 	self := c.store.Self()
 	if !c.retirements.Retiring(self.Node) {
-		c.reported = ""
+		c.reportedState = ""
 		return nil
 	}
 	done := l.SlotOf(self.ID) < 0 && l.SlotJoinedBy(self.ID) < 0
@@ -183,13 +183,13 @@
 	if done {
 		state = "done"
 	}
-	if c.reported == state {
+	if c.reportedState == state {
 		return nil
 	}
 	if err := c.retirements.Report(ctx, self.Node, done); err != nil {
 		return err
 	}
-	c.reported = state
+	c.reportedState = state
 	c.log.WithFields(logrus.Fields{"event": "retirement", "state": state, "epoch": l.Epoch}).Info("retirement reported")
 	return nil
 }
--- a/internal/turns/replica/index.go
+++ b/internal/turns/replica/index.go
@@ -10,12 +10,12 @@
 	"github.com/rookpass/rookpass/internal/turns/turnlog"
 )
 
-// keepMargin is how much longer than its retention a program is kept: answers reach callers late, and
+// retentionMargin is how much longer than its retention a program is kept: answers reach callers late, and
 // copying to another disk takes its time.
-const keepMargin = 30 * time.Second
+const retentionMargin = 30 * time.Second
 
-// entry is one turn. Its record lies in the log.
-type entry struct {
+// indexEntry is one turn. Its record lies in the log.
+type indexEntry struct {
 	id       string
 	previous string
 	state    turn.State
@@ -28,31 +28,31 @@
 
 type program struct {
 	name  string
-	turns []*entry
-	// places holds where its prompts are in cache, by part: what the turn said that ended last.
-	places map[string]turn.CachedPrompt
-	// aim is the longest time that a turn of the program had left when it came: that of its first.
-	aim       time.Duration
-	touched   time.Time
-	retention time.Duration
+	turns []*indexEntry
+	// cachedPrompts holds where its prompts are in cache, by part: what the turn said that ended last.
+	cachedPrompts map[string]turn.CachedPrompt
+	// timeBudget is the longest time that a turn of the program had left when it came: that of its first.
+	timeBudget time.Duration
+	lastUsed   time.Time
+	retention  time.Duration
 }
 
 // index finds records by program and by turn. Its methods are safe for concurrent use.
 type index struct {
 	mu       sync.Mutex
 	programs map[string]*program
-	turns    map[string]*entry
+	turns    map[string]*indexEntry
 	sequence uint64
-	// live counts the records of each file that are still in the index.
-	live map[uint32]int
+	// liveRecords counts the records of each file that are still in the index.
+	liveRecords map[uint32]int
 }
 
 func newIndex() *index {
-	return &index{programs: map[string]*program{}, turns: map[string]*entry{}, live: map[uint32]int{}}
+	return &index{programs: map[string]*program{}, turns: map[string]*indexEntry{}, liveRecords: map[uint32]int{}}
 }
 
-// has tells whether a record of at least the state is there.
-func (x *index) has(id string, state turn.State) bool {
+// hasState tells whether a record of at least the state is there.
+func (x *index) hasState(id string, state turn.State) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	e := x.turns[id]
@@ -65,33 +65,33 @@
 	defer x.mu.Unlock()
 	p := x.programs[r.Program]
 	if p == nil {
-		p = &program{name: r.Program, places: map[string]turn.CachedPrompt{}}
+		p = &program{name: r.Program, cachedPrompts: map[string]turn.CachedPrompt{}}
 		x.programs[r.Program] = p
 	}
-	p.touched = now
-	p.aim = max(p.aim, r.Aim)
+	p.lastUsed = now
+	p.timeBudget = max(p.timeBudget, r.Aim)
 	p.retention = max(p.retention, r.Retention)
 	e := x.turns[r.ID]
 	if e == nil {
-		e = &entry{id: r.ID, program: p}
+		e = &indexEntry{id: r.ID, program: p}
 		x.turns[r.ID] = e
 		p.turns = append(p.turns, e)
 	} else if e.state >= r.State {
 		return false
 	} else {
-		x.live[e.position.Segment]--
+		x.liveRecords[e.position.Segment]--
 	}
-	if place, known := r.CachedPrompt(); known {
-		p.places[place.Part] = place
+	if cached, known := r.CachedPrompt(); known {
+		p.cachedPrompts[cached.Part] = cached
 	}
 	x.sequence++
 	e.state, e.tokens, e.previous, e.position, e.sequence = r.State, r.ChargedTokens(), r.Previous, position, x.sequence
-	x.live[position.Segment]++
+	x.liveRecords[position.Segment]++
 	return true
 }
 
-// entries returns a program's turns.
-func (x *index) entries(name string) []BudgetEntry {
+// budgetEntries returns a program's turns.
+func (x *index) budgetEntries(name string) []BudgetEntry {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	p := x.programs[name]
@@ -105,15 +105,15 @@
 	return list
 }
 
-// places returns where a program's prompts are in cache, and the time that it was given.
-func (x *index) places(name string) ([]turn.CachedPrompt, time.Duration) {
+// cachedPrompts returns where a program's prompts are in cache, and the time that it was given.
+func (x *index) cachedPrompts(name string) ([]turn.CachedPrompt, time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	p := x.programs[name]
 	if p == nil {
 		return nil, 0
 	}
-	return slices.Collect(maps.Values(p.places)), p.aim
+	return slices.Collect(maps.Values(p.cachedPrompts)), p.timeBudget
 }
 
 // chain returns where the finished turns lie from id backwards, and the first that is missing.
@@ -126,15 +126,15 @@
 		if e == nil || e.state != turn.Finished {
 			return positions, id
 		}
-		e.program.touched = now
+		e.program.lastUsed = now
 		positions = append(positions, e.position)
 		id = e.previous
 	}
 	return positions, ""
 }
 
-// located is a turn to export.
-type located struct {
+// exportedTurn is a turn to export.
+type exportedTurn struct {
 	id       string
 	state    turn.State
 	sequence uint64
@@ -151,39 +151,39 @@
 	return e.position, true
 }
 
-// after returns, in order, up to limit records that were entered after a place and whose program is wanted.
-func (x *index) after(sequence uint64, limit int, wanted func(program string) bool) []located {
+// exportAfter returns, in order, up to limit records that were entered exportAfter a place and whose program is wanted.
+func (x *index) exportAfter(sequence uint64, limit int, wanted func(program string) bool) []exportedTurn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var found []located
+	var found []exportedTurn
 	for _, p := range x.programs {
 		if !wanted(p.name) {
 			continue
 		}
 		for _, e := range p.turns {
 			if e.sequence > sequence {
-				found = append(found, located{e.id, e.state, e.sequence})
+				found = append(found, exportedTurn{e.id, e.state, e.sequence})
 			}
 		}
 	}
-	slices.SortFunc(found, func(a, b located) int { return int(a.sequence) - int(b.sequence) })
+	slices.SortFunc(found, func(a, b exportedTurn) int { return int(a.sequence) - int(b.sequence) })
 	return found[:min(limit, len(found))]
 }
 
-// held is a turn that the index knows, with its program.
-type held struct {
+// indexedTurn is a turn that the index knows, with its program.
+type indexedTurn struct {
 	TurnState
 	program  string
 	position turnlog.Position
 }
 
-// all returns every turn.
-func (x *index) all() []held {
+// allTurns returns every turn.
+func (x *index) allTurns() []indexedTurn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	list := make([]held, 0, len(x.turns))
+	list := make([]indexedTurn, 0, len(x.turns))
 	for _, e := range x.turns {
-		list = append(list, held{TurnState{e.id, e.state}, e.program.name, e.position})
+		list = append(list, indexedTurn{TurnState{e.id, e.state}, e.program.name, e.position})
 	}
 	return list
 }
@@ -193,38 +193,38 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for name, p := range x.programs {
-		if now.Sub(p.touched) <= p.retention+keepMargin {
+		if now.Sub(p.lastUsed) <= p.retention+retentionMargin {
 			continue
 		}
 		for _, e := range p.turns {
 			delete(x.turns, e.id)
-			x.live[e.position.Segment]--
+			x.liveRecords[e.position.Segment]--
 		}
 		delete(x.programs, name)
 	}
 	var empty []uint32
-	for segment, count := range x.live {
+	for segment, count := range x.liveRecords {
 		if count == 0 && segment != active {
 			empty = append(empty, segment)
-			delete(x.live, segment)
+			delete(x.liveRecords, segment)
 		}
 	}
 	return empty
 }
 
-// keep remembers a file that expire has named and that could not be removed.
-func (x *index) keep(segment uint32) {
+// retrySegment remembers a file that expire has named and that could not be removed.
+func (x *index) retrySegment(segment uint32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.live[segment] += 0
+	x.liveRecords[segment] += 0
 }
 
-// oldest returns the records of the file with the lowest number, but for the active one.
-func (x *index) oldest(active uint32) []turnlog.Position {
+// oldestSegmentRecords returns the records of the file with the lowest number, but for the active one.
+func (x *index) oldestSegmentRecords(active uint32) []turnlog.Position {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	lowest := active
-	for segment := range x.live {
+	for segment := range x.liveRecords {
 		lowest = min(lowest, segment)
 	}
 	if lowest == active {
@@ -239,21 +239,21 @@
 	return positions
 }
 
-// moved notes that a record was copied to another place.
-func (x *index) moved(id string, from, to turnlog.Position) {
+// relocate notes that a record was copied to another place.
+func (x *index) relocate(id string, from, to turnlog.Position) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	e := x.turns[id]
 	if e == nil || e.position != from {
 		return
 	}
-	x.live[from.Segment]--
+	x.liveRecords[from.Segment]--
 	e.position = to
-	x.live[to.Segment]++
+	x.liveRecords[to.Segment]++
 }
 
-// sizes returns the numbers of programs and turns.
-func (x *index) sizes() (programs, turns int) {
+// counts returns the numbers of programs and turns.
+func (x *index) counts() (programs, turns int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return len(x.programs), len(x.turns)
--- a/internal/turns/replica/service.go
+++ b/internal/turns/replica/service.go
@@ -17,9 +17,9 @@
 var Error = errs.Class("replica")
 
 const (
-	// exportTurns and pullBytes bound a page: it should take a few milliseconds of the link.
-	exportTurns = 2000
-	pullBytes   = 256 << 10
+	// exportPageTurns and pullBytes bound a page: it should take a few milliseconds of the link.
+	exportPageTurns = 2000
+	pullPageBytes   = 256 << 10
 )
 
 // Store is one disk's records and what it believes of the layout.
@@ -89,8 +89,8 @@
 	return true
 }
 
-// fence makes the disk serve no layout older than epoch from now on, also after a restart.
-func (s *Store) fence(epoch uint64) error {
+// raiseFence makes the disk serve no layout older than epoch from now on, also after a restart.
+func (s *Store) raiseFence(epoch uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.id.Fence >= epoch {
@@ -125,15 +125,15 @@
 
 // write makes a record durable, unless it is already there.
 func (s *Store) write(r *turn.Record) error {
-	if s.index.has(r.ID, r.State) {
+	if s.index.hasState(r.ID, r.State) {
 		return nil
 	}
-	ticket := s.files.Append(r)
-	defer ticket.Release()
-	if err := ticket.Wait(); err != nil {
+	pending := s.files.Append(r)
+	defer pending.Release()
+	if err := pending.Wait(); err != nil {
 		return err
 	}
-	s.index.add(r, ticket.Position, time.Now())
+	s.index.add(r, pending.Position, time.Now())
 	return nil
 }
 
@@ -161,10 +161,10 @@
 		return nil
 	}
 	if args.Entries {
-		reply.Entries = s.index.entries(args.Record.Program)
+		reply.Entries = s.index.budgetEntries(args.Record.Program)
 	}
 	if args.Places {
-		reply.Places, reply.Aim = s.index.places(args.Record.Program)
+		reply.Places, reply.Aim = s.index.cachedPrompts(args.Record.Program)
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 func (v *Service) Export(args *ExportArgs, reply *ExportReply) error {
 	s := v.store
 	s.UpdateLayout(&args.Layout)
-	if err := s.fence(args.Layout.Epoch); err != nil {
+	if err := s.raiseFence(args.Layout.Epoch); err != nil {
 		s.log.WithFields(logrus.Fields{"event": "identity-failed", "error": err}).Error("fence not saved")
 		reply.Header.Status = Failed
 		return nil
@@ -205,7 +205,7 @@
 		return nil
 	}
 	groups := map[string]bool{}
-	found := s.index.after(args.After, exportTurns, func(program string) bool {
+	found := s.index.exportAfter(args.After, exportPageTurns, func(program string) bool {
 		wanted, known := groups[program]
 		if !known {
 			for _, slot := range args.Layout.Group(program) {
@@ -220,7 +220,7 @@
 		reply.Turns = append(reply.Turns, TurnState{ID: l.id, State: l.state})
 		reply.Last = l.sequence
 	}
-	reply.Done = len(found) < exportTurns
+	reply.Done = len(found) < exportPageTurns
 	return nil
 }
 
@@ -245,7 +245,7 @@
 			return nil
 		}
 		reply.Records = append(reply.Records, record)
-		if size += len(record.Input) + len(record.Output); size > pullBytes {
+		if size += len(record.Input) + len(record.Output); size > pullPageBytes {
 			return nil
 		}
 	}
@@ -259,7 +259,7 @@
 		return nil
 	}
 	for i, t := range args.Turns {
-		if !v.store.index.has(t.ID, t.State) {
+		if !v.store.index.hasState(t.ID, t.State) {
 			reply.Lacked = append(reply.Lacked, i)
 		}
 	}
@@ -276,10 +276,10 @@
 func (s *Store) Close() error { return s.files.Close() }
 
 // Size returns the numbers of programs and turns kept.
-func (s *Store) Size() (programs, turns int) { return s.index.sizes() }
+func (s *Store) Size() (programs, turns int) { return s.index.counts() }
 
 // Bytes returns what the turns take on the disk.
 func (s *Store) Bytes() int64 { return s.files.Bytes() }
 
 // Turns returns a program's turns.
-func (s *Store) Turns(program string) []BudgetEntry { return s.index.entries(program) }
+func (s *Store) Turns(program string) []BudgetEntry { return s.index.budgetEntries(program) }
--- a/internal/turns/replica/service_test.go
+++ b/internal/turns/replica/service_test.go
@@ -25,8 +25,8 @@
 	return s
 }
 
-// formed returns a layout of one epoch in which the disks hold the slots.
-func formed(epoch uint64, disks ...layout.Disk) *layout.Layout {
+// layoutOf returns a layout of one epoch in which the disks hold the slots.
+func layoutOf(epoch uint64, disks ...layout.Disk) *layout.Layout {
 	l := &layout.Layout{Epoch: epoch, Tolerance: 1}
 	for _, d := range disks {
 		l.Slots = append(l.Slots, layout.Slot{DataCentre: d.DataCentre, Disk: d})
@@ -34,47 +34,47 @@
 	return l
 }
 
-func others() []layout.Disk {
+func otherDisks() []layout.Disk {
 	return []layout.Disk{{ID: "b", Node: "b", DataCentre: "b"}, {ID: "c", Node: "c", DataCentre: "c"}}
 }
 
-func write(t *testing.T, s *Store, disk string, epoch uint64, r turn.Record) *WriteReply {
+func writeRecord(t *testing.T, s *Store, disk string, epoch uint64, r turn.Record) *WriteReply {
 	t.Helper()
 	var reply WriteReply
 	assert.NilError(t, NewService(s).Write(&WriteArgs{Target: Target{Disk: disk, Epoch: epoch}, Record: r, Entries: true}, &reply))
 	return &reply
 }
 
-func turnRecord(id, previous string) turn.Record {
+func finishedTurn(id, previous string) turn.Record {
 	return turn.Record{State: turn.Finished, ID: id, Program: "p", Previous: previous, Tokens: 3, Retention: time.Minute,
 		Input: []byte("in"), Output: []byte("out\n")}
 }
 
-// TestFenceOutlivesRestart: after a take-over has begun to copy, writes under the older layout are refused,
+// TestFenceSurvivesRestart: after a take-over has begun to copy, writes under the older layout are refused,
 // by the next process too: the copy may lack them.
-func TestFenceOutlivesRestart(t *testing.T) {
+func TestFenceSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	self := s.Self()
-	s.UpdateLayout(formed(4, append(others(), self)...))
-	assert.Equal(t, write(t, s, self.ID, 4, turnRecord("t1", "")).Header.Status, OK)
-	next := formed(5, append(others(), self)...)
+	s.UpdateLayout(layoutOf(4, append(otherDisks(), self)...))
+	assert.Equal(t, writeRecord(t, s, self.ID, 4, finishedTurn("t1", "")).Header.Status, OK)
+	next := layoutOf(5, append(otherDisks(), self)...)
 	next.Slots[0].Joining = &layout.Disk{ID: "d", Node: "d"}
 	var page ExportReply
 	assert.NilError(t, NewService(s).Export(&ExportArgs{Layout: *next, Slot: 0, From: self.ID}, &page))
 	assert.Equal(t, page.Header.Status, OK)
 	assert.DeepEqual(t, page.Turns, []TurnState{{ID: "t1", State: turn.Finished}})
 	assert.Assert(t, page.Done)
-	refused := write(t, s, self.ID, 4, turnRecord("t2", "t1"))
+	refused := writeRecord(t, s, self.ID, 4, finishedTurn("t2", "t1"))
 	assert.Equal(t, refused.Header.Status, StaleLayout)
 	assert.Equal(t, refused.Header.Layout.Epoch, uint64(5))
 	assert.NilError(t, s.Close())
 	s = openStore(t, dir)
-	assert.Equal(t, write(t, s, self.ID, 4, turnRecord("t3", "t1")).Header.Status, StaleLayout)
-	assert.Equal(t, write(t, s, self.ID, 5, turnRecord("t3", "t1")).Header.Status, OK)
+	assert.Equal(t, writeRecord(t, s, self.ID, 4, finishedTurn("t3", "t1")).Header.Status, StaleLayout)
+	assert.Equal(t, writeRecord(t, s, self.ID, 5, finishedTurn("t3", "t1")).Header.Status, OK)
 }
 
-func TestEmptyDiskIsAnotherDisk(t *testing.T) {
+func TestEmptyDiskGetsNewID(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
 	first := s.Self()
@@ -82,11 +82,11 @@
 	assert.NilError(t, os.RemoveAll(dir))
 	s = openStore(t, dir)
 	assert.Assert(t, s.Self().ID != first.ID)
-	assert.Equal(t, write(t, s, first.ID, 1, turnRecord("t1", "")).Header.Status, WrongDisk)
+	assert.Equal(t, writeRecord(t, s, first.ID, 1, finishedTurn("t1", "")).Header.Status, WrongDisk)
 }
 
-// TestOnlyHoldersAreComplete: a disk that holds no slot may lack records, and so may not say what is absent.
-func TestOnlyHoldersAreComplete(t *testing.T) {
+// TestOnlySlotHoldersAreComplete: a disk that holds no slot may lack records, and so may not say what is absent.
+func TestOnlySlotHoldersAreComplete(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	self := s.Self()
 	complete := func(l *layout.Layout) bool {
@@ -99,36 +99,36 @@
 	var unknown FetchReply
 	assert.NilError(t, NewService(s).Fetch(&FetchArgs{Target: Target{Disk: self.ID, Epoch: 1}, ID: "none"}, &unknown))
 	assert.Assert(t, !unknown.Header.Complete, "a disk that knows no layout yet")
-	joining := formed(1, others()...)
+	joining := layoutOf(1, otherDisks()...)
 	joining.Slots[0].Joining = &self
 	assert.Assert(t, !complete(joining))
-	assert.Assert(t, complete(formed(2, append(others(), self)...)))
-	assert.Assert(t, !complete(formed(3, others()...)))
+	assert.Assert(t, complete(layoutOf(2, append(otherDisks(), self)...)))
+	assert.Assert(t, !complete(layoutOf(3, otherDisks()...)))
 }
 
 func TestWritesAreIdempotentAndStatesOnlyRise(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	self := s.Self()
-	s.UpdateLayout(formed(1, append(others(), self)...))
+	s.UpdateLayout(layoutOf(1, append(otherDisks(), self)...))
 	reservation := turn.Record{State: turn.Reserved, ID: "t", Program: "p", Tokens: 50, Retention: time.Minute}
-	write(t, s, self.ID, 1, reservation)
-	write(t, s, self.ID, 1, turnRecord("t", ""))
-	write(t, s, self.ID, 1, reservation)
-	reply := write(t, s, self.ID, 1, turnRecord("t", ""))
+	writeRecord(t, s, self.ID, 1, reservation)
+	writeRecord(t, s, self.ID, 1, finishedTurn("t", ""))
+	writeRecord(t, s, self.ID, 1, reservation)
+	reply := writeRecord(t, s, self.ID, 1, finishedTurn("t", ""))
 	assert.DeepEqual(t, reply.Entries, []BudgetEntry{{ID: "t", State: turn.Finished, Tokens: 3}})
 }
 
-func TestExportOnlyHoldsTheSlotsPrograms(t *testing.T) {
+func TestExportListsOnlyProgramsOfSlot(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	self := s.Self()
-	disks := append(others(), self, layout.Disk{ID: "e", Node: "e", DataCentre: "e"})
-	l := formed(1, disks...)
+	disks := append(otherDisks(), self, layout.Disk{ID: "e", Node: "e", DataCentre: "e"})
+	l := layoutOf(1, disks...)
 	s.UpdateLayout(l)
 	wanted := 0
 	for i := range 40 {
-		r := turnRecord(string(rune('A'+i)), "")
+		r := finishedTurn(string(rune('A'+i)), "")
 		r.Program = "program-" + r.ID
-		write(t, s, self.ID, 1, r)
+		writeRecord(t, s, self.ID, 1, r)
 		for _, slot := range l.Group(r.Program) {
 			if slot == 0 {
 				wanted++
@@ -141,27 +141,27 @@
 	assert.Assert(t, wanted > 20 && wanted < 40, "%d of 40 programs belong to a slot of four, three of which hold each", wanted)
 }
 
-func TestExpiryRemovesFilesAndKeepsWhatIsUsed(t *testing.T) {
+func TestExpiryKeepsRecentlyUsedPrograms(t *testing.T) {
 	x := newIndex()
 	now := time.Now()
-	old, used := turnRecord("old", ""), turnRecord("used", "")
+	old, used := finishedTurn("old", ""), finishedTurn("used", "")
 	old.Program, used.Program = "old", "used"
-	x.add(&old, position(1), now)
-	x.add(&used, position(2), now)
-	later := now.Add(old.Retention + keepMargin - time.Second)
+	x.add(&old, positionIn(1), now)
+	x.add(&used, positionIn(2), now)
+	later := now.Add(old.Retention + retentionMargin - time.Second)
 	assert.Equal(t, len(x.expire(later, 3)), 0)
 	_, missing := x.chain("used", later)
 	assert.Equal(t, missing, "")
-	assert.DeepEqual(t, x.expire(now.Add(old.Retention+keepMargin+time.Second), 3), []uint32{1})
+	assert.DeepEqual(t, x.expire(now.Add(old.Retention+retentionMargin+time.Second), 3), []uint32{1})
 	_, missing = x.chain("old", later)
 	assert.Equal(t, missing, "old")
 }
 
-func TestMalformedIdentityIsAnErrorNotANewDisk(t *testing.T) {
+func TestMalformedIdentityIsAnError(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.WriteFile(filepath.Join(dir, identityFile), []byte("{"), 0o644))
 	_, err := loadIdentity(dir)
 	assert.ErrorContains(t, err, identityFile)
 }
 
-func position(segment uint32) turnlog.Position { return turnlog.Position{Segment: segment} }
+func positionIn(segment uint32) turnlog.Position { return turnlog.Position{Segment: segment} }
--- a/internal/turns/replica/takeover.go
+++ b/internal/turns/replica/takeover.go
@@ -17,8 +17,8 @@
 const (
 	// pageTimeout bounds one page: a quarter of a megabyte over a link that others use too.
 	pageTimeout = 3 * time.Second
-	// pullIDs bounds the turns that one question names.
-	pullIDs = 500
+	// pullBatchTurns bounds the turns that one question names.
+	pullBatchTurns = 500
 )
 
 // takeOver copies what the slot must hold from the other slots, then makes this disk the slot's holder. All others are asked
@@ -29,10 +29,10 @@
 // others but tolerance - 1 hold every one between them.
 func (c *Controller) takeOver(ctx context.Context, l *layout.Layout, slot int) error {
 	began := time.Now()
-	missing := newShortfall(c.store.index)
-	unheard := c.listAll(ctx, l, slot, missing)
-	if unheard > max(0, l.Tolerance-1) {
-		return Error.New("slot %d: %d of %d disks did not tell what they have", slot, unheard, l.OccupiedSlots()-1)
+	missing := newMissingTurns(c.store.index)
+	unanswered := c.listMissing(ctx, l, slot, missing)
+	if unanswered > max(0, l.Tolerance-1) {
+		return Error.New("slot %d: %d of %d disks did not tell what they have", slot, unanswered, l.OccupiedSlots()-1)
 	}
 	copied, err := c.copyMissing(ctx, l, missing)
 	if err != nil {
@@ -44,11 +44,11 @@
 	next.Slots[slot].Joining = nil
 	c.log.WithFields(logrus.Fields{"event": "slot-filled", "slot": slot, "records": copied,
 		"ms": time.Since(began).Milliseconds(), "epoch": next.Epoch}).Info("slot copied")
-	return c.put(ctx, next)
+	return c.putLayout(ctx, next)
 }
 
-// listAll asks all other slots what they have of what the slot must hold, and returns how many did not tell.
-func (c *Controller) listAll(ctx context.Context, l *layout.Layout, slot int, missing *shortfall) (unheard int) {
+// listMissing asks all other slots what they have of what the slot must hold, and returns how many did not tell.
+func (c *Controller) listMissing(ctx context.Context, l *layout.Layout, slot int, missing *missingTurns) (unanswered int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for i, other := range l.Slots {
@@ -56,25 +56,25 @@
 			continue
 		}
 		wg.Go(func() {
-			err := c.list(ctx, l, slot, other.Disk, missing)
+			err := c.listFrom(ctx, l, slot, other.Disk, missing)
 			if err == nil {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			unheard++
+			unanswered++
 			c.log.WithFields(logrus.Fields{"event": "list-failed", "slot": slot, "from": other.Disk.Node, "error": err}).Warn("a disk did not tell what it has")
 		})
 	}
 	wg.Wait()
-	return unheard
+	return unanswered
 }
 
-// list asks one disk.
-func (c *Controller) list(ctx context.Context, l *layout.Layout, slot int, from layout.Disk, missing *shortfall) error {
+// listFrom asks one disk.
+func (c *Controller) listFrom(ctx context.Context, l *layout.Layout, slot int, from layout.Disk, missing *missingTurns) error {
 	args := ExportArgs{Layout: *l, Slot: slot, From: from.ID}
 	for {
-		reply, err := askPage[ExportReply](ctx, c.links, from, "Export", &args)
+		reply, err := callPage[ExportReply](ctx, c.links, from, "Export", &args)
 		if err != nil {
 			return err
 		}
@@ -89,15 +89,15 @@
 	}
 }
 
-// askPage makes one call of a copy.
-func askPage[Reply any](ctx context.Context, links *peerlink.Pool, from layout.Disk, method string, args any) (*Reply, error) {
+// callPage makes one call of a copy.
+func callPage[Reply any](ctx context.Context, links *peerlink.Pool, from layout.Disk, method string, args any) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return peerlink.Call[Reply](ctx, links.LinkTo(from.Address), ServiceName+"."+method, args)
 }
 
 // copyMissing copies what is missing, from the nearest disks first, and returns how many records were new here.
-func (c *Controller) copyMissing(ctx context.Context, l *layout.Layout, missing *shortfall) (copied int, err error) {
+func (c *Controller) copyMissing(ctx context.Context, l *layout.Layout, missing *missingTurns) (copied int, err error) {
 	var sources []layout.Disk
 	for _, disk := range l.Disks() {
 		if disk.ID != c.store.Self().ID {
@@ -105,13 +105,13 @@
 		}
 	}
 	slices.SortStableFunc(sources, func(a, b layout.Disk) int {
-		return int(c.place.DistanceTo(a.DataCentre)) - int(c.place.DistanceTo(b.DataCentre))
+		return int(c.topology.DistanceTo(a.DataCentre)) - int(c.topology.DistanceTo(b.DataCentre))
 	})
 	for _, from := range sources {
-		n, problem := c.pull(ctx, l, from, missing)
+		n, pullErr := c.pullFrom(ctx, l, from, missing)
 		copied += n
-		if problem != nil {
-			err = problem // another disk may have what this one did not give
+		if pullErr != nil {
+			err = pullErr // another disk may have what this one did not give
 		}
 	}
 	if missing.len() == 0 {
@@ -120,12 +120,12 @@
 	return copied, Error.New("%d records of which others told were given by none: %w", missing.len(), err)
 }
 
-// pull copies what one disk has of what is missing. What it no longer has was kept for long enough.
-func (c *Controller) pull(ctx context.Context, l *layout.Layout, from layout.Disk, missing *shortfall) (copied int, err error) {
-	ids := missing.at(from)
+// pullFrom copies what one disk has of what is missing. What it no longer has was kept for long enough.
+func (c *Controller) pullFrom(ctx context.Context, l *layout.Layout, from layout.Disk, missing *missingTurns) (copied int, err error) {
+	ids := missing.heldBy(from)
 	for len(ids) > 0 {
-		args := PullArgs{Target: Target{Disk: from.ID, Epoch: l.Epoch}, IDs: ids[:min(pullIDs, len(ids))]}
-		reply, err := askPage[PullReply](ctx, c.links, from, "Pull", &args)
+		args := PullArgs{Target: Target{Disk: from.ID, Epoch: l.Epoch}, IDs: ids[:min(pullBatchTurns, len(ids))]}
+		reply, err := callPage[PullReply](ctx, c.links, from, "Pull", &args)
 		if err != nil {
 			return copied, err
 		}
@@ -143,32 +143,34 @@
 	return copied, nil
 }
 
-// shortfall is what this disk lacks of what others have. It is safe for concurrent use.
-type shortfall struct {
+// missingTurns is what this disk lacks of what others have. It is safe for concurrent use.
+type missingTurns struct {
 	own *index
 
 	mu sync.Mutex
 	// turns has the latest state of each that is lacked, and who has it so.
-	turns map[string]lacked
+	turns map[string]missingTurn
 }
 
-type lacked struct {
+type missingTurn struct {
 	state   turn.State
 	holders []string
 }
 
-func newShortfall(own *index) *shortfall { return &shortfall{own: own, turns: map[string]lacked{}} }
+func newMissingTurns(own *index) *missingTurns {
+	return &missingTurns{own: own, turns: map[string]missingTurn{}}
+}
 
 // add notes what a disk has.
-func (s *shortfall) add(from layout.Disk, turns []TurnState) {
+func (s *missingTurns) add(from layout.Disk, turns []TurnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range turns {
 		known, there := s.turns[t.ID]
 		switch {
-		case s.own.has(t.ID, t.State):
+		case s.own.hasState(t.ID, t.State):
 		case !there || t.State > known.state:
-			s.turns[t.ID] = lacked{t.State, []string{from.ID}}
+			s.turns[t.ID] = missingTurn{t.State, []string{from.ID}}
 		case t.State == known.state:
 			known.holders = append(known.holders, from.ID)
 			s.turns[t.ID] = known
@@ -176,8 +178,8 @@
 	}
 }
 
-// at returns what is lacked that a disk has.
-func (s *shortfall) at(from layout.Disk) []string {
+// heldBy returns what is lacked that a disk has.
+func (s *missingTurns) heldBy(from layout.Disk) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []string
@@ -191,7 +193,7 @@
 }
 
 // remove notes that turns are lacked no more.
-func (s *shortfall) remove(ids []string) {
+func (s *missingTurns) remove(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range ids {
@@ -199,7 +201,7 @@
 	}
 }
 
-func (s *shortfall) len() int {
+func (s *missingTurns) len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.turns)
@@ -207,24 +209,24 @@
 
 // writeAll makes records durable with as few syncs as come, and returns how many were new here.
 func (s *Store) writeAll(records []turn.Record) (int, error) {
-	var tickets []turnlog.PendingAppend
+	var pending []turnlog.PendingAppend
 	var added []int
 	for i := range records {
-		if record := &records[i]; !s.index.has(record.ID, record.State) {
-			tickets = append(tickets, s.files.Append(record))
+		if record := &records[i]; !s.index.hasState(record.ID, record.State) {
+			pending = append(pending, s.files.Append(record))
 			added = append(added, i)
 		}
 	}
 	defer func() {
-		for _, ticket := range tickets {
-			ticket.Release()
+		for _, p := range pending {
+			p.Release()
 		}
 	}()
-	for k, ticket := range tickets {
-		if err := ticket.Wait(); err != nil {
+	for k, p := range pending {
+		if err := p.Wait(); err != nil {
 			return 0, err
 		}
-		s.index.add(&records[added[k]], ticket.Position, time.Now())
+		s.index.add(&records[added[k]], p.Position, time.Now())
 	}
-	return len(tickets), nil
+	return len(pending), nil
 }
--- a/internal/turns/replica/vacate.go
+++ b/internal/turns/replica/vacate.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// spareTime is how long a retiring disk waits for a spare one to take its slot: several steps of one.
-	spareTime = time.Second
-	// lackedTurns is how many turns one question names; some 60 bytes each.
-	lackedTurns = 2000
+	// spareWait is how long a retiring disk waits for a spare one to take its slot: several steps of one.
+	spareWait = time.Second
+	// lackedBatchTurns is how many turns one question names; some 60 bytes each.
+	lackedBatchTurns = 2000
 	// lackedTimeout bounds one question, pushTimeout one record.
 	lackedTimeout = 2 * time.Second
 	pushTimeout   = time.Second
-	// pushesAtOnce bounds the records on their way to one disk, so that they share syncs.
-	pushesAtOnce = 16
+	// maxConcurrentPushes bounds the records on their way to one disk, so that they share syncs.
+	maxConcurrentPushes = 16
 )
 
-// giveUp takes this disk out of the layout where no other disk takes its slot over, in three steps, each
+// vacate takes this disk out of the layout where no other disk takes its slot over, in three steps, each
 // a new layout or a condition for it:
 //
 //   - This disk serves no older layout from here on, then the slot is marked as leaving. What was durable with this
@@ -31,12 +31,12 @@
 //   - Every record here is copied until a quorum of the slots that stay in its group holds it.
 //   - The slot becomes vacant. Groups that had it take another one in its place; a quorum of the old group's slots that
 //     stay is a quorum of the new group.
-func (c *Controller) giveUp(ctx context.Context, l *layout.Layout, slot int) error {
+func (c *Controller) vacate(ctx context.Context, l *layout.Layout, slot int) error {
 	if !l.Slots[slot].Leaving {
-		return c.beginLeaving(ctx, l, slot)
+		return c.startVacating(ctx, l, slot)
 	}
 	began := time.Now()
-	copied, err := c.copyOut(ctx, l, slot)
+	copied, err := c.copyToRemaining(ctx, l, slot)
 	if err != nil {
 		return err
 	}
@@ -44,40 +44,40 @@
 	next.Slots[slot] = layout.Slot{DataCentre: l.Slots[slot].DataCentre, Vacant: true}
 	c.log.WithFields(logrus.Fields{"event": "slot-vacant", "slot": slot, "records": copied,
 		"ms": time.Since(began).Milliseconds(), "epoch": next.Epoch}).Info("slot given up")
-	return c.put(ctx, next)
+	return c.putLayout(ctx, next)
 }
 
-func (c *Controller) beginLeaving(ctx context.Context, l *layout.Layout, slot int) error {
+func (c *Controller) startVacating(ctx context.Context, l *layout.Layout, slot int) error {
 	if c.retiringSince.IsZero() {
 		c.retiringSince = time.Now()
 	}
-	if !l.CanVacate(slot) || time.Since(c.retiringSince) < spareTime {
+	if !l.CanVacate(slot) || time.Since(c.retiringSince) < spareWait {
 		return nil
 	}
 	next := l.Clone()
 	next.Slots[slot].Leaving = true
-	if err := c.store.fence(next.Epoch); err != nil {
+	if err := c.store.raiseFence(next.Epoch); err != nil {
 		return err
 	}
 	c.log.WithFields(logrus.Fields{"event": "slot-leave", "slot": slot, "epoch": next.Epoch, "live": l.OccupiedSlots()}).Info("giving a slot up: no spare disk took it")
-	return c.put(ctx, next)
+	return c.putLayout(ctx, next)
 }
 
-// stay takes a slot back that was to be given up, where the retirement was withdrawn.
-func (c *Controller) stay(ctx context.Context, l *layout.Layout, slot int) error {
+// cancelVacating takes a slot back that was to be given up, where the retirement was withdrawn.
+func (c *Controller) cancelVacating(ctx context.Context, l *layout.Layout, slot int) error {
 	c.retiringSince = time.Time{}
 	if !l.Slots[slot].Leaving {
 		return nil
 	}
 	next := l.Clone()
 	next.Slots[slot].Leaving = false
-	return c.put(ctx, next)
+	return c.putLayout(ctx, next)
 }
 
-// copyOut brings every record of this disk to a quorum of the slots that stay in its group, and returns how
+// copyToRemaining brings every record of this disk to a quorum of the slots that stay in its group, and returns how
 // many were sent.
-func (c *Controller) copyOut(ctx context.Context, l *layout.Layout, slot int) (int, error) {
-	records := c.store.index.all()
+func (c *Controller) copyToRemaining(ctx context.Context, l *layout.Layout, slot int) (int, error) {
+	records := c.store.index.allTurns()
 	groups := map[string][]int{}
 	bySlot := map[int][]int{}
 	for i, r := range records {
@@ -95,7 +95,7 @@
 	holders := make([]int, len(records))
 	sent := 0
 	for other, wanted := range bySlot {
-		lacked, err := c.bring(ctx, l, l.Slots[other].Disk, records, wanted)
+		lacked, err := c.copyToDisk(ctx, l, l.Slots[other].Disk, records, wanted)
 		if err != nil {
 			c.log.WithFields(logrus.Fields{"event": "copy-failed", "slot": slot, "to": l.Slots[other].Disk.Node, "error": err}).Warn("records not copied")
 			continue
@@ -113,13 +113,13 @@
 	return sent, nil
 }
 
-// bring makes one disk hold some of the records, and returns how many it lacked.
-func (c *Controller) bring(ctx context.Context, l *layout.Layout, disk layout.Disk, records []held, wanted []int) (int, error) {
+// copyToDisk makes one disk hold some of the records, and returns how many it lacked.
+func (c *Controller) copyToDisk(ctx context.Context, l *layout.Layout, disk layout.Disk, records []indexedTurn, wanted []int) (int, error) {
 	target := Target{Disk: disk.ID, Epoch: l.Epoch}
 	link := c.links.LinkTo(disk.Address)
 	sent := 0
 	for len(wanted) > 0 {
-		page := wanted[:min(lackedTurns, len(wanted))]
+		page := wanted[:min(lackedBatchTurns, len(wanted))]
 		wanted = wanted[len(page):]
 		args := &LackedArgs{Target: target}
 		for _, i := range page {
@@ -135,9 +135,9 @@
 			return sent, Error.New("%s answered with status %d", disk.Node, reply.Header.Status)
 		}
 		var group errgroup.Group
-		group.SetLimit(pushesAtOnce)
-		for _, place := range reply.Lacked {
-			group.Go(func() error { return c.push(ctx, link, target, records[page[place]]) })
+		group.SetLimit(maxConcurrentPushes)
+		for _, i := range reply.Lacked {
+			group.Go(func() error { return c.pushRecord(ctx, link, target, records[page[i]]) })
 		}
 		if err := group.Wait(); err != nil {
 			return sent, err
@@ -147,8 +147,8 @@
 	return sent, nil
 }
 
-// push sends one record to a disk.
-func (c *Controller) push(ctx context.Context, link *peerlink.Link, target Target, r held) error {
+// pushRecord sends one record to a disk.
+func (c *Controller) pushRecord(ctx context.Context, link *peerlink.Link, target Target, r indexedTurn) error {
 	record, err := c.store.files.Read(r.position)
 	if err != nil {
 		return err
