--- a/internal/turns/turn/turn.go
+++ b/internal/turns/turn/turn.go
@@ -1,5 +1,5 @@
-// Package turn holds the records of agent turns that rookpass keeps: what was reserved of a program's token
-// budget, and what was said.
+// Package turn defines the stored record of an agent turn: its charge against the program's token budget, its input and
+// its output.
 package turn
 
 import (
@@ -14,18 +14,18 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("turn")
 
-// State is how far a turn has come. A record of a higher state replaces one of a lower state.
+// State is the progress of a turn. A record of a higher state replaces one of a lower state.
 type State uint8
 
-// The states.
 const (
-	// Reserved turns may be running; they count at the most that they may generate.
+	// Reserved turns may be running. They are charged the most that they may generate.
 	Reserved State = iota + 1
-	// Void turns never reached a server and never will; they count nothing.
+	// Void turns never reached a server and never will. They are charged nothing.
 	Void
-	// Finished turns were answered whole; they count what they generated, and others may go on from them.
+	// Finished turns were answered completely. They are charged what they generated, and later turns may continue from
+	// them.
 	Finished
-	// Settled turns were answered whole too, on a route that keeps no history: they only count.
+	// Settled turns were answered completely on a route that retains no history. They are only charged.
 	Settled
 )
 
@@ -45,37 +45,38 @@
 	}
 }
 
-// Record is one state of one turn. Records never change once written.
+// Record is a turn in one state. Records are immutable once written.
 type Record struct {
 	State   State
 	ID      string
 	Program string
-	// Previous is the turn of the same program that this one goes on from; empty at the start of a line.
+	// Previous is the turn of the same program that this one continues; empty at the start of a chain.
 	Previous string
-	// Tokens is what the turn counts against the budget.
+	// Tokens is the charge against the program's token budget.
 	Tokens int64
-	// Retention is how long the program is kept after its last turn.
+	// Retention is how long the program is kept after its last use.
 	Retention time.Duration
-	// Input is what the caller sent and Output the data of each event with a line feed behind; both only
-	// for Finished turns.
+	// Input is the caller's request. Output is the data of each response event, followed by a line feed. Both are set
+	// for Finished turns only.
 	Input  []byte
 	Output []byte
-	// Server is the server's start that ran the turn and so holds its prompt in cache: Held tokens of Part, the last
-	// part of the prompt, and all parts before it. Part is empty where the prompt's parts are not known.
+	// Server is the start of the server that ran the turn. Its prompt cache holds Held tokens of Part, the last part of
+	// the prompt, and all parts before it. Part is empty where the prompt's parts are not known.
 	Server incarnation.ID
 	Part   string
 	Held   int64
-	// Aim is the time that the program had left when the turn came; 0 where that was not said. It is told with a
-	// reservation.
+	// Aim is the time budget that the program had left when the turn arrived; 0 if none was given. It is set on
+	// reservations.
 	Aim time.Duration
 }
 
-// keySeparator stands behind an organisation's name in a key: no header, so no id that a caller sends, can hold it.
+// keySeparator separates the organisation from the ID in a key. No header can hold it, so no ID that a caller sends
+// can.
 const keySeparator = "\x1f"
 
-// Key returns the name under which a turn or a program of an organisation is kept: organisations neither see nor spend
-// one another's, though their ids be equal. Without an organisation it is the id itself, as in records from before there
-// were any; those are for callers without a key only.
+// Key returns the name under which a turn or a program of an organisation is stored, so that equal IDs of different
+// organisations do not collide. Without an organisation it is the ID itself: for callers without a key, and in records
+// from before there were organisations.
 func Key(organisation, id string) string {
 	if organisation == "" || id == "" {
 		return id
@@ -83,20 +84,20 @@
 	return organisation + keySeparator + id
 }
 
-// CachedPrompt tells what a server has in cache after a turn.
+// CachedPrompt is a prompt that a server has in its cache after a turn.
 type CachedPrompt struct {
 	Server incarnation.ID
-	// Part is a part of a prompt, Held how many of its tokens are in cache.
+	// Part identifies a part of the prompt. Held is the number of its tokens in cache.
 	Part string
 	Held int64
 }
 
-// CachedPrompt returns where the turn's prompt is in cache, or false where that is not known.
+// CachedPrompt returns where the turn's prompt is cached, or false where that is not known.
 func (r *Record) CachedPrompt() (CachedPrompt, bool) {
 	return CachedPrompt{Server: r.Server, Part: r.Part, Held: r.Held}, r.Part != "" && !r.Server.IsZero()
 }
 
-// ChargedTokens returns what the record counts against the program's budget.
+// ChargedTokens returns the record's charge against the program's token budget.
 func (r *Record) ChargedTokens() int64 {
 	if r.State == Void {
 		return 0
@@ -104,9 +105,9 @@
 	return r.Tokens
 }
 
-// Append appends the record's encoding to b: the state, numbers as varints, texts with their length before
-// them. Part, Held and Aim stand last, behind them when the
-// server started: records without them end before.
+// Append appends the record's encoding to b: the state, numbers as varints, and strings and byte slices with their
+// length in front. Part, Held and Aim, and after them the server's start time, come last and are left out where they
+// are zero; records of earlier versions lack them.
 func (r *Record) Append(b []byte) []byte {
 	b = append(b, byte(r.State))
 	b = binary.AppendVarint(b, r.Tokens)
@@ -160,7 +161,7 @@
 	return append(b, text...)
 }
 
-// decoder reads fields one after the other; the first malformed one sets bad.
+// decoder reads fields in order. The first malformed field sets malformed.
 type decoder struct {
 	rest      []byte
 	malformed bool
--- a/internal/turns/turn/turn_test.go
+++ b/internal/turns/turn/turn_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestDecodeRecordWithoutCachedPrompt: disks hold records of before there were places.
+// TestDecodeRecordWithoutCachedPrompt checks that records of the earlier format, which ends before Part, are still
+// decoded.
 func TestDecodeRecordWithoutCachedPrompt(t *testing.T) {
 	r := turn.Record{State: turn.Finished, ID: "id", Program: "p", Server: incarnation.ID{Server: "s"}, Tokens: 3, Output: []byte("out")}
 	before := len(r.Append(nil))
