--- a/internal/turns/layout/layout.go
+++ b/internal/turns/layout/layout.go
@@ -1,12 +1,12 @@
-// Package layout tells which disks hold which programs' turns.
+// Package layout assigns the storage of programs' turns to disks.
 //
-// A layout has a fixed number of slots, decided when the system first starts. Each slot is held by one disk;
-// while another disk takes the slot over, writes to the slot count only if both disks have them. A program's
-// records lie on the slots of its group: a durable record is held by a quorum of them, always.
+// A layout has a fixed number of slots, set when the system first starts. Each slot is held by one disk. While another
+// disk takes the slot over, a write counts for the slot only if both disks have it. A program's records are stored on
+// the slots of its group, and a durable record is always held by a quorum of them.
 //
-// A disk that is to be emptied with no other to take its slot gives the slot up: it is leaving, and counts for
-// nothing, until all that it holds is on a quorum of the rest of each group; then the slot is vacant for good, and groups
-// do without it.
+// A disk that must be emptied while no other disk takes its slot vacates the slot. The slot is first leaving: it counts
+// towards no quorum until all its records are on a quorum of the rest of each group. Then it is vacant permanently, and
+// groups are formed without it.
 package layout
 
 import (
@@ -21,38 +21,37 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("layout")
 
-// Disk is one life of a disk: one that comes back empty has a new ID.
+// Disk identifies a disk. A disk that comes back empty gets a new ID.
 type Disk struct {
 	ID   string `json:"id"`
 	Node string `json:"node"`
-	// Address is where the disk's daemon listens, IP:port.
+	// Address is the IP:port at which the disk's daemon listens.
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 }
 
-// Slot is a place for one disk.
+// Slot is a position in the layout, held by one disk.
 type Slot struct {
-	// DataCentre of the slot's first disk spreads groups; it stays when the disk changes, so that groups
-	// do.
+	// DataCentre is that of the slot's first disk. It stays when the disk changes, so that groups do too.
 	DataCentre string `json:"data_centre"`
 	Disk       Disk   `json:"disk"`
-	// Joining is the disk that takes the slot over, if any.
+	// Joining is the disk that is taking the slot over, or nil.
 	Joining *Disk `json:"joining,omitempty"`
-	// Leaving slots are read from but not written to. Vacant ones have no disk.
+	// Leaving slots are read but not written. Vacant slots have no disk.
 	Leaving bool `json:"leaving,omitempty"`
 	Vacant  bool `json:"vacant,omitempty"`
 }
 
-// Layout is one state of the slots.
+// Layout is one version of the assignment of disks to slots.
 type Layout struct {
-	// Epoch rises with each change.
+	// Epoch increases with each change.
 	Epoch uint64 `json:"epoch"`
-	// Tolerance is how many disks may be lost at one time.
+	// Tolerance is the number of disks that may be lost at the same time.
 	Tolerance int    `json:"tolerance"`
 	Slots     []Slot `json:"slots"`
 }
 
-// Decode returns the layout that value encodes.
+// Decode parses the JSON encoding of a layout.
 func Decode(value []byte) (*Layout, error) {
 	l := &Layout{}
 	if err := json.Unmarshal(value, l); err != nil {
@@ -61,13 +60,13 @@
 	return l, nil
 }
 
-// Encode returns the layout's encoding.
+// Encode returns the JSON encoding of the layout.
 func (l *Layout) Encode() ([]byte, error) {
 	value, err := json.Marshal(l)
 	return value, Error.Wrap(err)
 }
 
-// Clone returns a copy with the epoch raised.
+// Clone returns a copy with the epoch incremented.
 func (l *Layout) Clone() *Layout {
 	next := *l
 	next.Epoch++
@@ -75,7 +74,7 @@
 	return &next
 }
 
-// Disks returns the disks that hold slots, in the order of the slots.
+// Disks returns the disks that hold slots, in slot order.
 func (l *Layout) Disks() []Disk {
 	disks := make([]Disk, 0, l.OccupiedSlots())
 	for _, slot := range l.Slots {
@@ -86,7 +85,7 @@
 	return disks
 }
 
-// OccupiedSlots returns the number of slots that have a disk. Each write asks for it, so it makes no list.
+// OccupiedSlots returns the number of slots that have a disk. Each write calls it, so it does not allocate.
 func (l *Layout) OccupiedSlots() int {
 	n := 0
 	for i := range l.Slots {
@@ -97,7 +96,7 @@
 	return n
 }
 
-// CanVacate tells whether a slot can be given up: the others that stay must make whole groups.
+// CanVacate reports whether a slot can be vacated: the remaining slots must be enough for a full group.
 func (l *Layout) CanVacate(slot int) bool {
 	staying := 0
 	for i, other := range l.Slots {
@@ -110,26 +109,27 @@
 
 func (l *Layout) groupSize() int { return 2*l.Tolerance + 1 }
 
-// Quorum is how many slots of a group must hold a record to make it durable, and how many must answer for a
-// budget to be known: any two quorums share a slot.
+// Quorum returns how many slots of a group must hold a record for it to be durable, and how many must answer for a
+// budget to be known. Any two quorums of a group share a slot.
 func (l *Layout) Quorum() int { return min(l.Tolerance+1, l.OccupiedSlots()) }
 
-// AbsenceQuorum is how many slots of the whole layout must say that they have no such record for it not to exist.
+// AbsenceQuorum returns how many slots of the whole layout must report a record as missing to prove that it does not
+// exist.
 func (l *Layout) AbsenceQuorum() int { return l.OccupiedSlots() - l.Quorum() + 1 }
 
-// SlotOf returns the slot that a disk holds, or -1.
+// SlotOf returns the index of the slot that a disk holds, or -1.
 func (l *Layout) SlotOf(disk string) int {
 	return slices.IndexFunc(l.Slots, func(s Slot) bool { return s.Disk.ID == disk })
 }
 
-// SlotJoinedBy returns the slot that a disk is taking over, or -1.
+// SlotJoinedBy returns the index of the slot that a disk is taking over, or -1.
 func (l *Layout) SlotJoinedBy(disk string) int {
 	return slices.IndexFunc(l.Slots, func(s Slot) bool { return s.Joining != nil && s.Joining.ID == disk })
 }
 
-// Group returns the slots for a program: 2 x tolerance + 1 of those that are not vacant, picked by rendezvous
-// hash, those in data centres not yet picked first. It depends only on the slots and their data centres, not on
-// who holds them.
+// Group returns the slots that store a program's records: 2 x tolerance + 1 of the slots that are not vacant, selected
+// by rendezvous hash so that they spread over data centres. It depends only on the slots and their data centres, not on
+// the disks that hold them.
 func (l *Layout) Group(program string) []int {
 	order := make([]int, 0, len(l.Slots))
 	weights := make([]uint64, len(l.Slots))
@@ -159,7 +159,7 @@
 	return group
 }
 
-// mix spreads the bits of a word (the finalizer of splitmix64).
+// mix is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/turns/layout/layout_test.go
+++ b/internal/turns/layout/layout_test.go
@@ -21,8 +21,8 @@
 	return l
 }
 
-// TestQuorumsIntersect: two quorums of a group share a slot, and so do a quorum and as many slots of the whole as
-// must say that there is nothing.
+// TestQuorumsIntersect checks that two quorums of a group share a slot, and so do a quorum and an absence quorum of the
+// whole layout.
 func TestQuorumsIntersect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLayout(t)
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestVacatedSlotLeavesOtherGroupMembers: and each of those by that one slot, so that a quorum of the slots that stay
-// is a quorum of the group after it.
+// TestVacatedSlotLeavesOtherGroupMembers checks that a vacated slot is only replaced in its groups, so that a quorum of
+// the remaining slots is a quorum of the new group.
 func TestVacatedSlotLeavesOtherGroupMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLayout(t)
@@ -60,7 +60,7 @@
 	})
 }
 
-// TestGroupsAreStableWhenDisksChange: a group depends on slots, not on the disks that hold them.
+// TestGroupsAreStableWhenDisksChange checks that a group depends on slots, not on the disks that hold them.
 func TestGroupsAreStableWhenDisksChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawLayout(t)
@@ -72,7 +72,8 @@
 	})
 }
 
-// TestGroupsSpreadOverDataCentres: no data centre holds a quorum of a group where they could be spread.
+// TestGroupsSpreadOverDataCentres guards against a data centre that holds a quorum of a group where it could be
+// avoided.
 func TestGroupsSpreadOverDataCentres(t *testing.T) {
 	l := &layout.Layout{Tolerance: 2}
 	for i := range 10 {
