--- a/internal/turns/turnlog/pacer.go
+++ b/internal/turns/turnlog/pacer.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// maxSyncDelay bounds the pause after a sync that took long, as where the disk stalls: above the 1 to 2 ms of a sound one.
+// maxSyncDelay bounds the delay after a slow sync, as of a disk that stalls.
 const maxSyncDelay = 10 * time.Millisecond
 
-// pacer gives a disk half of the time at most: after a sync, the next one waits for as long as that one took. Appends gather
-// meanwhile, and the daemon's network is served: with one processor, a thread that waits for the disk holds up all others.
-// An append to a disk that rests waits for nobody. The zero value is ready for use.
+// pacer limits syncs to half of the time: each waits, from the end of the previous one, for as long as that took.
+// Meanwhile appends gather into one batch and the daemon serves its network; with one processor, a thread that waits
+// for the disk holds up all others. A sync after an idle period is not delayed. The zero value is ready for use.
 type pacer struct {
 	lastSyncEnd      time.Time
 	lastSyncDuration time.Duration
-	// syncCount counts all syncCount, syncNanos adds up their time in nanoseconds; both may be read at any time.
+	// syncCount and syncNanos are the number of syncs and their total duration. They may be read concurrently.
 	syncCount, syncNanos atomic.Int64
 }
 
-// delay returns how long the next sync is to wait.
+// delay returns how long the next sync must wait.
 func (p *pacer) delay(now time.Time) time.Duration {
 	return max(0, p.lastSyncDuration-now.Sub(p.lastSyncEnd))
 }
 
-// recordSync notes a sync.
 func (p *pacer) recordSync(began, ended time.Time) {
 	p.lastSyncEnd = ended
 	p.lastSyncDuration = min(ended.Sub(began), maxSyncDelay)
--- a/internal/turns/turnlog/pacer_test.go
+++ b/internal/turns/turnlog/pacer_test.go
@@ -8,15 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestPacerLimitsSyncsToHalfOfTheTime: 2,000 appends a second to a disk that takes 2 ms a sync. Without a pause it is busy all the time,
-// 500 syncs a second.
+// TestPacerLimitsSyncsToHalfOfTheTime checks the number of syncs while appends are always pending, on a disk that takes
+// 2 ms for a sync.
 func TestPacerLimitsSyncsToHalfOfTheTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const sync = 2 * time.Millisecond
 		var p pacer
 		busy, syncs := time.Duration(0), 0
 		began := time.Now()
-		for time.Since(began) < time.Second { // something is always waiting to be written
+		for time.Since(began) < time.Second { // an append is always pending
 			time.Sleep(p.delay(time.Now()))
 			start := time.Now()
 			time.Sleep(sync)
@@ -24,7 +24,7 @@
 			busy += sync
 			syncs++
 		}
-		assert.Equal(t, syncs, 251) // one at once, and one each 4 ms
+		assert.Equal(t, syncs, 251) // the first at once, then one every 4 ms
 		assert.Equal(t, busy, 502*time.Millisecond)
 	})
 }
@@ -43,7 +43,7 @@
 	})
 }
 
-// TestPacerDelayIsBoundedAfterStall: a sync that took a second is no reason to wait for another one.
+// TestPacerDelayIsBoundedAfterStall guards against a long delay after a single slow sync.
 func TestPacerDelayIsBoundedAfterStall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pacer
--- a/internal/turns/turnlog/turnlog.go
+++ b/internal/turns/turnlog/turnlog.go
@@ -1,7 +1,7 @@
-// Package turnlog keeps turn records in files on a disk. Appends that come together share one sync.
+// Package turnlog stores turn records in segment files on a disk. Concurrent appends share one sync.
 //
-// A file is a row of frames: length and CRC-32 of the record as little-endian words, then the record. What
-// follows the first frame that does not check out was never acknowledged, and is passed over.
+// A segment is a sequence of frames: length and CRC-32 of the record as little-endian 32-bit words, then the record.
+// Data behind the first invalid frame was never acknowledged and is ignored.
 package turnlog
 
 import (
@@ -26,48 +26,48 @@
 var Error = errs.Class("turnlog")
 
 var (
-	// ErrClosed means that the log was closed.
+	// ErrClosed means that the log is closed.
 	ErrClosed = errors.New("turn log closed")
-	// ErrInUse means that a file takes appends, or holds some that are not settled.
-	ErrInUse = errors.New("turn file in use")
+	// ErrInUse means that a segment is the active one or holds appends that are not released.
+	ErrInUse = errors.New("turn segment in use")
 )
 
 const (
 	frameHeaderBytes = 8
-	// maxRecordBytes bounds a frame: a larger length is a torn write.
+	// maxRecordBytes bounds the record of a frame. A larger length marks a torn write.
 	maxRecordBytes = 64 << 20
-	// maxSegmentBytes is when a new file begins, so that old ones can be removed whole.
+	// maxSegmentBytes is the size at which a new segment begins, so that old ones can be removed.
 	maxSegmentBytes = 8 << 20
 	segmentSuffix   = ".turns"
 )
 
-// Position is where a record lies.
+// Position is the location of a record.
 type Position struct {
 	Segment uint32
 	Offset  int64
 	Length  int
 }
 
-// Log is a set of files in one folder. Use Open.
+// Log is a set of segments in one directory. Use Open.
 type Log struct {
 	dir string
 
 	mu    sync.Mutex
 	files map[uint32]*os.File
-	// pending gathers the appends that come while the disk is busy. Its file is the active one; it is made when
-	// the first batch is written to it.
+	// pending collects appends while the disk is busy. Its segment is the active one; the file is created when the
+	// first batch is written to it.
 	pending *batch
-	// unreleased counts each file's appends whose caller has not yet said that it is done with them.
+	// unreleased counts, by segment, the appends that have not been released.
 	unreleased map[uint32]int
 	wake       chan struct{}
 	failed     error
 	closed     bool
 	bytes      int64
 	done       chan struct{}
-	pacer      pacer // of the committing goroutine
+	pacer      pacer // updated by commitLoop only
 }
 
-// batch is the appends that wait for one sync, and where they go.
+// batch is a group of appends that share one write and one sync, with the location that they are written to.
 type batch struct {
 	segment uint32
 	offset  int64
@@ -76,7 +76,7 @@
 	err     error
 }
 
-// following returns the batch behind b: in the same file, or in the following one where that file is full.
+// following returns the batch behind b: in the same segment, or in the next one where that is full.
 func (b *batch) following() *batch {
 	n := &batch{segment: b.segment, offset: b.offset + int64(len(b.data)), synced: make(chan struct{})}
 	if n.offset >= maxSegmentBytes {
@@ -85,8 +85,8 @@
 	return n
 }
 
-// Open reads the records of a folder, in the order of their writing, and begins a new file behind them. Files
-// without a record are removed.
+// Open replays the records of a directory in the order in which they were written, and begins a new segment behind
+// them. Segments without a record are removed.
 func Open(dir string, replay func(turn.Record, Position)) (*Log, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, Error.Wrap(err)
@@ -120,7 +120,7 @@
 			continue
 		}
 		if _, err := fmt.Sscanf(entry.Name(), "%08x", &number); err != nil {
-			return nil, Error.New("%s: not a name of a turn file", entry.Name())
+			return nil, Error.New("%s: not a segment file name", entry.Name())
 		}
 		numbers = append(numbers, number)
 	}
@@ -156,7 +156,8 @@
 	}
 }
 
-// decodeFrame decodes the frame at the start of data.
+// decodeFrame decodes the frame at the start of data. It returns the record and its encoded length, or false if the
+// frame is invalid.
 func decodeFrame(data []byte) (turn.Record, int, bool) {
 	if len(data) < frameHeaderBytes {
 		return turn.Record{}, 0, false
@@ -173,7 +174,8 @@
 	return record, length, err == nil
 }
 
-// segmentFile returns the segmentFile of a segment. A new one's name lasts once the folder is synced.
+// segmentFile returns the file of a segment, and creates it if it is missing. It syncs the directory, so that a new
+// file survives a power loss.
 func (l *Log) segmentFile(segment uint32) (*os.File, error) {
 	l.mu.Lock()
 	file := l.files[segment]
@@ -194,21 +196,21 @@
 	return file, nil
 }
 
-// PendingAppend is an append that has its place and waits for the disk. Done must be called once its caller has taken
-// the place down, or given up.
+// PendingAppend is an append that has a position and may not be on the disk yet. The caller must call Release once it
+// has recorded the position or given up.
 type PendingAppend struct {
 	Position Position
 	log      *Log
 	batch    *batch
 }
 
-// Wait returns once the record is on the disk.
+// Wait blocks until the record is on the disk, or returns the error of the write.
 func (p PendingAppend) Wait() error {
 	<-p.batch.synced
 	return p.batch.err
 }
 
-// Release lets the record's file be removed: until then nobody else may know that the record is there.
+// Release allows the record's segment to be removed. Until then the record may not be in the caller's index.
 func (p PendingAppend) Release() {
 	p.log.mu.Lock()
 	defer p.log.mu.Unlock()
@@ -217,7 +219,7 @@
 	}
 }
 
-// Append gives a record its place. It is durable once the ticket's Wait returns nil.
+// Append assigns a position to a record. The record is durable once Wait returns nil.
 func (l *Log) Append(record *turn.Record) PendingAppend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -240,15 +242,15 @@
 	return PendingAppend{Position: position, log: l, batch: b}
 }
 
-// commitLoop writes what is pending, again and again. After a failure nothing more is taken: what the disk holds is
-// then unknown until the next start.
+// commitLoop writes pending batches. After a failed write all later appends fail: what the disk holds is unknown until
+// the log is opened again.
 func (l *Log) commitLoop() {
 	defer close(l.done)
 	for range l.wake {
 		time.Sleep(l.pacer.delay(time.Now()))
 		l.mu.Lock()
 		b := l.pending
-		l.pending = b.following() // appends from here on lie behind this batch
+		l.pending = b.following() // later appends go to the next batch
 		l.bytes += int64(len(b.data))
 		b.err = l.failed
 		l.mu.Unlock()
@@ -294,26 +296,26 @@
 	return turn.Decode(body)
 }
 
-// Bytes returns the size of all files.
+// Bytes returns the total size of all segments.
 func (l *Log) Bytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
 }
 
-// Syncs returns how often the disk was synced, and the time that it took in all.
+// Syncs returns the number of syncs and their total duration.
 func (l *Log) Syncs() (n int64, busy time.Duration) {
 	return l.pacer.syncCount.Load(), time.Duration(l.pacer.syncNanos.Load())
 }
 
-// ActiveSegment returns the file that appends go to.
+// ActiveSegment returns the number of the segment that appends go to.
 func (l *Log) ActiveSegment() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.pending.segment
 }
 
-// RemoveSegment deletes a file. ErrInUse means that it can't be removed now.
+// RemoveSegment deletes a segment. It returns ErrInUse for the active segment and for one with unreleased appends.
 func (l *Log) RemoveSegment(segment uint32) error {
 	l.mu.Lock()
 	file := l.files[segment]
@@ -333,7 +335,7 @@
 	return Error.Wrap(errors.Join(file.Close(), os.Remove(l.segmentPath(segment))))
 }
 
-// Close ends the log. Appends that still wait fail. Closing again does nothing.
+// Close stops the log and closes its files. Later appends fail with ErrClosed. Calling Close again does nothing.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
--- a/internal/turns/turnlog/turnlog_test.go
+++ b/internal/turns/turnlog/turnlog_test.go
@@ -49,8 +49,8 @@
 	assert.Equal(t, len(found), 50)
 }
 
-// TestTornTailIsIgnored cuts and spoils the file at every byte of its last record: the records before it
-// stay, and what is appended later is found behind.
+// TestTornTailIsIgnored truncates or corrupts a file at every byte of its last record: earlier records must be kept,
+// and later appends must be readable.
 func TestTornTailIsIgnored(t *testing.T) {
 	source := t.TempDir()
 	l, _ := openLog(t, source)
@@ -74,7 +74,7 @@
 			}
 			assert.NilError(t, os.WriteFile(filepath.Join(dir, filepath.Base(files[0])), torn, 0o644))
 			l, found := openLog(t, dir)
-			assert.Equal(t, len(found), 1, "cut at %d, spoilt %t", cut, corrupt)
+			assert.Equal(t, len(found), 1, "cut at %d, corrupt %t", cut, corrupt)
 			r := newRecord("three")
 			assert.NilError(t, l.Append(&r).Wait())
 			assert.NilError(t, l.Close())
@@ -104,7 +104,7 @@
 	assert.NilError(t, l.Close())
 }
 
-// TestSegmentsRotateUnderLoad: also where some append waits at every moment.
+// TestSegmentsRotateUnderLoad guards against a segment that never ends because an append is always pending.
 func TestSegmentsRotateUnderLoad(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openLog(t, dir)
@@ -126,14 +126,15 @@
 	for _, pending := range waiting {
 		assert.NilError(t, pending.Wait())
 	}
-	assert.Assert(t, l.ActiveSegment() >= 4, "active file %d", l.ActiveSegment())
+	assert.Assert(t, l.ActiveSegment() >= 4, "active segment %d", l.ActiveSegment())
 	assert.NilError(t, l.Close())
 	l, found := openLog(t, dir)
 	assert.Equal(t, len(found), appends)
 	assert.NilError(t, l.Close())
 }
 
-// TestSegmentWithUnreleasedAppendIsNotRemoved: its record is on the disk, but the caller has not yet noted where.
+// TestSegmentWithUnreleasedAppendIsNotRemoved guards against the loss of a record that is on the disk while its caller
+// has not yet recorded its position.
 func TestSegmentWithUnreleasedAppendIsNotRemoved(t *testing.T) {
 	l, _ := openLog(t, t.TempDir())
 	defer func() { assert.NilError(t, l.Close()) }()
@@ -147,7 +148,7 @@
 	assert.NilError(t, l.RemoveSegment(pending.Position.Segment))
 }
 
-// TestEmptySegmentsAreRemoved: a process that wrote nothing leaves nothing behind.
+// TestEmptySegmentsAreRemoved guards against files left behind by processes that wrote no whole record.
 func TestEmptySegmentsAreRemoved(t *testing.T) {
 	dir := t.TempDir()
 	for range 5 {
