--- a/internal/turns/ledger/cache.go
+++ b/internal/turns/ledger/cache.go
@@ -7,16 +7,16 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// recordOverheadBytes is about what a cached record takes beside its texts.
+// recordOverheadBytes approximates the memory of a cached record beside its input and output.
 const recordOverheadBytes = 300
 
-// turnCache keeps the turns used last, up to a number of bytes.
+// turnCache is an LRU cache of turns, bounded in bytes.
 type turnCache struct {
 	limitBytes int
 
 	mu        sync.Mutex
 	sizeBytes int
-	order     *list.List // of *turn.Record, the one used last in front
+	order     *list.List // of *turn.Record, most recently used first
 	byID      map[string]*list.Element
 }
 
--- a/internal/turns/ledger/chain.go
+++ b/internal/turns/ledger/chain.go
@@ -15,8 +15,8 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// Chain returns a turn and all before it in its line, the oldest first. ErrNoTurn means that the turn does
-// not exist; ErrUnsure that it may.
+// Chain returns a turn and all turns before it, the oldest first. It returns ErrTurnNotFound if the turn does not
+// exist, and ErrUnavailable if it may exist but can't be read.
 func (l *Ledger) Chain(ctx context.Context, program, id string) ([]*turn.Record, error) {
 	var chain []*turn.Record
 	for next := id; next != ""; {
@@ -42,7 +42,7 @@
 	return chain, nil
 }
 
-// fetchWithRetry asks again while too few disks answer, until ctx ends.
+// fetchWithRetry repeats a fetch while too few disks answer, until ctx ends.
 func (l *Ledger) fetchWithRetry(ctx context.Context, program, id string) ([]turn.Record, error) {
 	for {
 		found, err := l.fetch(ctx, program, id)
@@ -62,10 +62,10 @@
 	err   error
 }
 
-// fetch returns a turn and some of those before it, the newest first. It asks one disk after the other, the
-// nearest of the program's group first: the next one when a disk does not answer soon or does not hold the turn. Once as
-// many as a group has do not hold it, it is most likely nowhere, and the rest are asked beside one another; as soon as
-// enough have said so, it is told.
+// fetch returns a turn and some of those before it, the newest first. It asks one disk after the other, the nearest of
+// the program's group first, and goes on to the next when a disk does not hold the turn or does not answer within
+// hedgeDelay. Once as many disks as a group has do not hold the turn, it probably does not exist, and the rest are
+// asked concurrently. ErrTurnNotFound is returned as soon as an absence quorum does not hold it.
 func (l *Ledger) fetch(ctx context.Context, program, id string) ([]turn.Record, error) {
 	current := l.layout.Load()
 	if current == nil {
@@ -126,7 +126,8 @@
 	return nil, errors.Join(ErrUnavailable, lastErr)
 }
 
-// allSlotsNearestFirst returns all slots: those of a group first, and of those the nearest.
+// allSlotsNearestFirst returns all slots that are not vacant: first those of the group, the nearest first, then the
+// others.
 func (l *Ledger) allSlotsNearestFirst(current *layout.Layout, group []int) []int {
 	order := l.sortNearestFirst(current, group)
 	for slot := range current.Slots {
@@ -137,10 +138,10 @@
 	return order
 }
 
-// departingDistance is farther away than any data centre.
+// departingDistance is greater than the distance to any data centre.
 const departingDistance = int(place.OtherRegion) + 1
 
-// sortNearestFirst sorts slots: the nearest first, those that are being given up last.
+// sortNearestFirst sorts slots in place: the nearest first, those that are leaving or being taken over last.
 func (l *Ledger) sortNearestFirst(current *layout.Layout, slots []int) []int {
 	distance := func(i int) int {
 		slot := current.Slots[i]
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -36,7 +36,7 @@
 
 const layoutKey = "rookpass-layout/main"
 
-// cluster is a set of store daemons in virtual time, over one object API.
+// cluster is a set of store daemons in virtual time that share one object API.
 type cluster struct {
 	t         *testing.T
 	fabric    *memnet.Fabric
@@ -45,8 +45,8 @@
 	tolerance int
 	dir       string
 	nodes     map[string]*daemon
-	// diskGenerations counts a node's disks: an empty one is another folder, so that what a killed daemon still writes does
-	// not come to it.
+	// diskGenerations counts the disks of a node: an empty one is another directory, which a killed daemon can't write
+	// to.
 	diskGenerations map[string]int
 
 	mu       sync.Mutex
@@ -87,7 +87,7 @@
 	return filepath.Join(c.dir, fmt.Sprint(name, ".", c.diskGenerations[name]))
 }
 
-// start runs a store daemon on what its folder holds.
+// start runs a store daemon on its data directory.
 func (c *cluster) start(name string, first bool) {
 	c.fabric.Restart(name)
 	dial := dialFrom(c.fabric, name)
@@ -103,7 +103,7 @@
 	go func() {
 		_ = peerlink.Serve(listener, map[string]any{replica.ServiceName: replica.NewService(store)})
 	}()
-	var running sync.WaitGroup // both write to the daemon's folder
+	var running sync.WaitGroup // both write to the data directory
 	running.Go(func() {
 		_ = watch.New(watch.NewSharedSource(c.api), 0, layoutHandler{controller}).WithPollTimeout(time.Second).Run(ctx)
 	})
@@ -114,7 +114,7 @@
 	}()
 }
 
-// kill ends a daemon's process; its folder stays.
+// kill ends a daemon's process; its data directory stays.
 func (c *cluster) kill(name string) {
 	d := c.nodes[name]
 	delete(c.nodes, name)
@@ -124,7 +124,7 @@
 	assert.NilError(c.t, d.store.Close())
 }
 
-// wipe kills a daemon and takes its disk's content away.
+// wipe kills a daemon and empties its disk.
 func (c *cluster) wipe(name string) {
 	c.kill(name)
 	c.diskGenerations[name]++
@@ -151,7 +151,7 @@
 	return nodes
 }
 
-// awaitAllSlotsHeld waits until every slot is held by a disk that runs.
+// awaitAllSlotsHeld waits until every slot that is not vacant is held by a running disk.
 func (c *cluster) awaitAllSlotsHeld() {
 	c.waitUntil(func() bool {
 		for _, slot := range c.layout().Slots {
@@ -178,7 +178,7 @@
 	c.t.Fatal("not reached within 30 s")
 }
 
-// ledger returns a ledger on a host of its own that knows the layout in force.
+// ledger returns a ledger on a host of its own that knows the current layout.
 func (c *cluster) ledger(host string) *ledger.Ledger {
 	l := ledger.New(peerlink.NewSet(dialFrom(c.fabric, host)), place.Topology{DataCentre: host}, 1, c.log)
 	l.UpdateLayout(c.layout())
@@ -190,7 +190,7 @@
 	return func(ctx context.Context, _, address string) (net.Conn, error) { return fabric.Dial(ctx, host, address) }
 }
 
-// layoutHandler hands the layout to a controller.
+// layoutHandler passes the layout object to a controller.
 type layoutHandler struct{ controller *replica.Controller }
 
 func (o layoutHandler) Prefix() string { return "rookpass-layout/" }
@@ -203,7 +203,7 @@
 func (o layoutHandler) Confirm(uint64, time.Time)    {}
 func (o layoutHandler) SourceUnavailable()           {}
 
-// retirements implements replica.Retirements by the cluster's maps.
+// retirements implements replica.Retirements on the cluster's maps.
 type retirements struct{ c *cluster }
 
 func (r retirements) Retiring(node string) bool {
@@ -228,21 +228,20 @@
 	return &turn.Record{State: turn.Reserved, ID: id, Program: program, Tokens: tokens, Retention: time.Minute}
 }
 
-// retire asks for a node's disk to be emptied.
+// retire requests that a node's disk be emptied.
 func (c *cluster) retire(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retiring[node] = true
 }
 
-// cancelRetirement withdraws it.
 func (c *cluster) cancelRetirement(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.retiring, node)
 }
 
-// retirementState returns what was reported of a node's retirement.
+// retirementState returns what was last reported on a node's retirement.
 func (c *cluster) retirementState(node string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger reads and writes the kept turns and the token budgets of programs on the disks of the
-// layout. Any daemon may do so for any program: records never change, and any two quorums share a disk.
+// Package ledger reads and writes the turns and token budgets of programs on the disks of the layout. Any daemon may do
+// so for any program: records are immutable, and any two quorums share a disk.
 package ledger
 
 import (
@@ -21,51 +21,52 @@
 )
 
 var (
-	// ErrTurnNotFound means that no such turn is kept. It is certain.
+	// ErrTurnNotFound means that the turn does not exist: an absence quorum of disks does not hold it.
 	ErrTurnNotFound = errors.New("no such turn")
-	// ErrUnavailable means that too few disks answered to know.
+	// ErrUnavailable means that too few disks answered.
 	ErrUnavailable = errors.New("too few disks answered")
-	// ErrBudgetExceeded means that the turn might not fit into what is left of the program's budget.
-	ErrBudgetExceeded = errors.New("token budget spent")
+	// ErrBudgetExceeded means that the turn might not fit into the rest of the program's budget.
+	ErrBudgetExceeded = errors.New("token budget exceeded")
 )
 
 const (
-	// callTimeout bounds one call to a disk. A quorum gathered within it can't hold an acknowledgement of a
-	// disk that was lost and has already been copied anew: a VM takes longer to start.
+	// callTimeout bounds one call to a disk. It is shorter than the start of a VM, so that a quorum can't include an
+	// acknowledgement of a disk that was lost and has already been refilled.
 	callTimeout = time.Second
-	// retryInterval is the time between two tries to reach a quorum; each asks every disk of the group.
+	// retryInterval is the time between two attempts to reach a quorum; each asks every disk of the group.
 	retryInterval = 60 * time.Millisecond
-	// fullGroupGrace is how much longer than for a quorum a reservation waits for the other disks: asking again
-	// takes a trip to another data centre and back, 3 ms.
+	// fullGroupGrace is how much longer than for a quorum a reservation waits for the other disks. If they all answer,
+	// it saves a second round of calls.
 	fullGroupGrace = 5 * time.Millisecond
-	// fallbackDelay is when a whole turn's record goes to the disks that were spared: many times a usual answer, also of another
-	// region's disk. Sooner, disks that are busy would get more to do for it.
+	// fallbackDelay is how long the nearest disks may take to acknowledge a finished turn before it is sent to the rest
+	// of the group. It is far above a usual answer, so that busy disks do not get more work.
 	fallbackDelay = 100 * time.Millisecond
 	// failureMemory is for how long a disk that has not answered is asked after all others.
 	failureMemory = 3 * time.Second
-	// hedgeDelay is when a fetch asks the other disks too: ten times a usual answer of the nearest.
+	// hedgeDelay is how long a fetch waits for an answer before it asks the next disk as well.
 	hedgeDelay = 20 * time.Millisecond
 )
 
-// Ledger talks to the disks. Use New.
+// Ledger reads and writes turns on the disks of the layout. Use New.
 type Ledger struct {
 	links    *peerlink.Pool
 	log      logrus.FieldLogger
 	topology place.Topology
 	layout   atomic.Pointer[layout.Layout]
 	cache    *turnCache
-	// lastFailure has when a disk, by its ID, last did not answer.
+	// lastFailure holds, by the ID of a disk, when it last did not answer.
 	lastFailure sync.Map
-	// background are the writes that go on after their quorum.
+	// background tracks the calls that go on in the background.
 	background sync.WaitGroup
 }
 
-// New returns a ledger of a daemon at a place. cacheBytes bounds the turns kept in memory.
+// New returns the ledger of a daemon. topology tells how far the disks are away; cacheBytes bounds the turns kept in
+// memory.
 func New(links *peerlink.Pool, topology place.Topology, cacheBytes int, log logrus.FieldLogger) *Ledger {
 	return &Ledger{links: links, topology: topology, cache: newTurnCache(cacheBytes), log: log}
 }
 
-// UpdateLayout takes a layout over if it is newer than the one in use.
+// UpdateLayout replaces the layout if next is newer.
 func (l *Ledger) UpdateLayout(next *layout.Layout) {
 	for {
 		current := l.layout.Load()
@@ -74,7 +75,7 @@
 		}
 		if l.layout.CompareAndSwap(current, next) {
 			l.log.WithFields(logrus.Fields{"event": "layout", "epoch": next.Epoch,
-				"slots": len(next.Slots)}).Info("layout in force")
+				"slots": len(next.Slots)}).Info("layout updated")
 			return
 		}
 	}
@@ -83,19 +84,18 @@
 // Layout returns the layout in use, or nil.
 func (l *Ledger) Layout() *layout.Layout { return l.layout.Load() }
 
-// Ready tells whether turns can be kept.
+// Ready reports whether a layout is known, so that turns can be stored.
 func (l *Ledger) Ready() bool {
 	return l.layout.Load() != nil
 }
 
-// Reserve makes durable that a turn may generate up to record.Tokens, and tells whether that fits into the
-// budget beside all that the program's other turns have generated or reserved. ErrBudget and ErrUnsure mean
-// that the turn must not run; Settle then takes the reservation back.
+// Reserve durably records that a turn may generate up to record.Tokens, and checks that this fits into the budget
+// beside all that the program's other turns have generated or reserved. After ErrBudgetExceeded or ErrUnavailable the
+// turn must not run, and the caller must take the reservation back with Settle.
 //
-// Of turns that reserve at the same moment, one must see all others. Where every disk of the group has
-// answered, the one that came last to any one disk does. Where only a quorum has, two that meet on one disk
-// each may miss a third, so the disks are asked again once the reservation is durable: the one whose
-// reservation became durable last then sees all.
+// Of concurrent reservations, one must see all others. Where every disk of the group has answered, the one that came
+// last to any disk does. Where only a quorum has, two that share one disk may each miss a third, so the disks are asked
+// again once the reservation is durable: the one that became durable last then sees all.
 func (l *Ledger) Reserve(ctx context.Context, record *turn.Record, budget int64) (ProgramUsage, error) {
 	r, err := l.write(ctx, record, true)
 	if err != nil {
@@ -127,17 +127,17 @@
 
 // ProgramUsage is what the disks know of a program.
 type ProgramUsage struct {
-	// Spent are the tokens of its other turns, those reserved among them.
+	// Spent is the number of tokens that its other turns have generated or reserved.
 	Spent int64
-	// CachedPrompts are where its prompts are in cache, as the nearest disk knows them; none where that did not answer.
+	// CachedPrompts are its prompts in servers' caches, as the nearest disk knows them; empty if that did not answer.
 	CachedPrompts []turn.CachedPrompt
-	// TimeBudget is the time that it was given; 0 where that was not said, or where the nearest disk did not answer.
+	// TimeBudget is the time that the program was given; 0 if none was, or if the nearest disk did not answer.
 	TimeBudget time.Duration
-	// Turns is how many other turns of it the disks know of.
+	// Turns is the number of its other turns.
 	Turns int
 }
 
-// Finish makes a whole turn durable.
+// Finish makes a finished turn durable.
 func (l *Ledger) Finish(ctx context.Context, record *turn.Record) error {
 	if _, err := l.write(ctx, record, false); err != nil {
 		return err
@@ -146,23 +146,23 @@
 	return nil
 }
 
-// Settle lowers what a reserved turn counts: to nothing where no server has run it nor will, or to what it
-// generated. It is tried for a while beside the caller's work: a reservation that stays only counts too much.
+// Settle lowers the charge of a reserved turn: to nothing where no server has run it nor will, or to what it generated.
+// It tries for 2 x callTimeout in the background. A reservation that is not settled only overstates the usage.
 func (l *Ledger) Settle(record *turn.Record) {
 	l.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*callTimeout)
 		defer cancel()
 		if _, err := l.write(ctx, record, false); err != nil {
-			l.log.WithFields(logrus.Fields{"event": "settle-failed", "turn": record.ID, "state": record.State.String(), "error": err}).Warn("reservation stays")
+			l.log.WithFields(logrus.Fields{"event": "settle-failed", "turn": record.ID, "state": record.State.String(), "error": err}).Warn("reservation not settled")
 		}
 	})
 }
 
-// Flush waits for the writes that still go on, until ctx ends.
+// Flush waits for background writes, until ctx ends.
 func (l *Ledger) Flush(ctx context.Context) error { return wait.Group(ctx, &l.background) }
 
-// write sends a record to the disks of its group until a quorum has it. With account the answers tell what the
-// disks know of the program.
+// write sends a record to the disks of its group, again and again until a quorum has it or ctx ends. With wantUsage the
+// disks also return what they know of the program.
 func (l *Ledger) write(ctx context.Context, record *turn.Record, wantUsage bool) (*writeRound, error) {
 	var lastErr error
 	for ctx.Err() == nil {
@@ -190,14 +190,14 @@
 	err   error
 }
 
-// writeRound is one asking of the disks of a group.
+// writeRound is one attempt to write a record to the disks of a group.
 type writeRound struct {
 	results chan writeResult
 	sent    int
-	// fallback asks the disks that were left out at first; nil where there are none.
+	// fallback writes to the disks that were left out at first; nil if there are none.
 	fallback func()
-	// unacknowledged counts, for each slot, the disks that have not yet said that they hold the record: two while
-	// another disk takes the slot over.
+	// unacknowledged counts, by slot, the disks that have not yet acknowledged the record: two while another disk takes
+	// the slot over.
 	unacknowledged map[int]int
 	acknowledged   int
 	quorum         int
@@ -208,9 +208,9 @@
 
 func (r *writeRound) complete() bool { return r.acknowledged == len(r.unacknowledged) }
 
-// send asks the disks of the record's group. A whole turn's record goes to the nearest quorum of them alone, and to the rest
-// only where those do not all answer soon: it holds all that was said, and its way may be long. All else goes to each. The
-// calls go on after the round has been left.
+// send starts writing a record to the disks of its group. A finished turn holds the whole input and output, so it goes
+// to the nearest quorum only, and to the rest if those do not all answer within fallbackDelay; other records go to all
+// disks. The calls continue after the round is left.
 func (l *Ledger) send(ctx context.Context, current *layout.Layout, record *turn.Record, wantUsage bool) *writeRound {
 	group := l.sortNearestFirst(current, current.Group(record.Program))
 	r := &writeRound{results: make(chan writeResult, 2*len(group)), unacknowledged: map[int]int{}, quorum: current.Quorum(), turns: map[string]replica.BudgetEntry{}}
@@ -237,7 +237,7 @@
 			}
 		}
 	}
-	// A slot that is leaving counts for nothing, so it is asked for nothing.
+	// Leaving slots count towards no quorum.
 	group = slices.DeleteFunc(group, func(slot int) bool { return current.Slots[slot].Leaving })
 	first := len(group)
 	if record.State == turn.Finished {
@@ -251,7 +251,7 @@
 	return r
 }
 
-// recordCallResult remembers whether a disk has answered.
+// recordCallResult notes whether a disk has answered.
 func (l *Ledger) recordCallResult(disk string, err error) {
 	if err != nil {
 		l.lastFailure.Store(disk, time.Now())
@@ -260,7 +260,7 @@
 	}
 }
 
-// sortFailedLast puts the slots last whose disks have not answered of late.
+// sortFailedLast moves the slots to the end whose disks failed to answer within failureMemory.
 func (l *Ledger) sortFailedLast(current *layout.Layout, group []int) {
 	recentlyFailed := func(slot int) int {
 		at, failed := l.lastFailure.Load(current.Slots[slot].Disk.ID)
@@ -272,7 +272,7 @@
 	slices.SortStableFunc(group, func(a, b int) int { return recentlyFailed(a) - recentlyFailed(b) })
 }
 
-// collect takes answers until a quorum holds the record; with patience, also for allGrace longer until all do.
+// collect takes answers until a quorum holds the record; with waitForAll, for up to fullGroupGrace longer until all do.
 func (r *writeRound) collect(ctx context.Context, l *Ledger, waitForAll bool) error {
 	var grace <-chan time.Time
 	var lastErr error
@@ -312,7 +312,7 @@
 	return errors.Join(ErrUnavailable, lastErr)
 }
 
-// startFallback asks the disks that were left out at first.
+// startFallback writes to the disks that were left out at first.
 func (r *writeRound) startFallback() {
 	if r.fallback != nil {
 		r.fallback()
@@ -320,7 +320,7 @@
 	}
 }
 
-// addResult counts one answer.
+// addResult adds one disk's answer to the round.
 func (r *writeRound) addResult(l *Ledger, result writeResult) error {
 	if result.err != nil {
 		return result.err
@@ -340,7 +340,7 @@
 	return nil
 }
 
-// checkHeader turns a disk's answer into an error, and learns the layout that it brings.
+// checkHeader returns an error unless the disk carried the request out. It adopts the layout that the header holds.
 func (l *Ledger) checkHeader(header replica.Header) error {
 	if header.Layout != nil {
 		l.UpdateLayout(header.Layout)
@@ -360,7 +360,7 @@
 var (
 	errStaleLayout = errors.New("layout is out of date")
 	errWrongDisk   = errors.New("another disk answers at the address")
-	errDiskFailed  = errors.New("disk failed")
+	errDiskFailed  = errors.New("disk could not be read or written")
 )
 
 // mergeEntry adds an entry to those known; a later state of a turn wins.
--- a/internal/turns/ledger/ledger_test.go
+++ b/internal/turns/ledger/ledger_test.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// TestNotFoundIsFastWithUnresponsiveDisk: a turn that is nowhere, while as many disks are dark as may be. The others suffice to
-// say so, and are asked beside one another once the program's own have no such turn.
+// TestNotFoundIsFastWithUnresponsiveDisk guards against a wait for an unresponsive disk when the other disks suffice to
+// know that a turn does not exist.
 func TestNotFoundIsFastWithUnresponsiveDisk(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 9, 1)
@@ -109,8 +109,8 @@
 	})
 }
 
-// TestUnavailableWhileOnlyHolderIsDown: one disk misses the turn, another loses it, the third is dark. Until it is
-// back nobody may say that the turn does not exist.
+// TestUnavailableWhileOnlyHolderIsDown guards against a false not-found: one disk misses the turn, another loses it,
+// and the third, which holds it, is down.
 func TestUnavailableWhileOnlyHolderIsDown(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
@@ -143,7 +143,7 @@
 			c.start(nodeName(i), false)
 			began := time.Now()
 			c.awaitAllSlotsHeld()
-			assert.Assert(t, time.Since(began) < 3*time.Second, "a lost disk was refilled after %v", time.Since(began))
+			assert.Assert(t, time.Since(began) < 3*time.Second, "lost disk refilled after %v", time.Since(began))
 		}
 		checkTurns(t, c.ledger("front-2"), programCount)
 	})
@@ -160,7 +160,7 @@
 		assert.Assert(t, c.holders()["spare"])
 		c.kill(nodeName(2))
 		checkTurns(t, c.ledger("front-2"), programCount)
-		// A daemon that still has the old layout learns the new one from the disks.
+		// A daemon that still has the old layout gets the new one from the disks.
 		assert.NilError(t, old.Finish(contextWithTimeout(t, 5*time.Second), finishedTurn("p0", "p0-c", "p0-b", "late")))
 		assert.Equal(t, old.Layout().Epoch, c.layout().Epoch)
 	})
@@ -195,7 +195,7 @@
 	})
 }
 
-// TestManyDisksFormLayoutQuickly: the first layout of a large system is there as soon as that of a small one.
+// TestManyDisksFormLayoutQuickly guards against a first layout that takes longer in a large system.
 func TestManyDisksFormLayoutQuickly(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		began := time.Now()
@@ -207,8 +207,8 @@
 	})
 }
 
-// TestRetirementWithoutASpare: where enough disks stay, the slot is given up, and what lay on its disk with only
-// just enough others is on enough of those that stay.
+// TestRetirementWithoutASpare checks that a slot is vacated where enough disks remain, and that records which only a
+// quorum held are on a quorum of the remaining disks.
 func TestRetirementWithoutASpare(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 5, 1)
@@ -226,9 +226,9 @@
 		account, err := c.ledger("front-2").Reserve(contextWithTimeout(t, 5*time.Second), reservedTurn("p0", "p0-s", 40), 100)
 		assert.ErrorIs(t, err, ledger.ErrBudgetExceeded)
 		assert.Equal(t, account.Spent, int64(90), "two turns of 10 and the reservation of 70")
-		// A daemon with the layout of before finds its way.
+		// A daemon with the previous layout still succeeds.
 		assert.NilError(t, old.Finish(contextWithTimeout(t, 5*time.Second), finishedTurn("p0", "p0-r", "p0-b", "late")))
-		// One more disk may be lost, and one more is given up; then no further one.
+		// One more disk may be lost and one more slot vacated; then none.
 		c.wipe(nodeName(2))
 		c.start(nodeName(2), false)
 		c.awaitAllSlotsHeld()
@@ -246,7 +246,7 @@
 	})
 }
 
-// TestWithdrawnRetirement: a disk that could not be emptied yet keeps its slot.
+// TestWithdrawnRetirement checks that a disk keeps its slot when the retirement is withdrawn before the disk is empty.
 func TestWithdrawnRetirement(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 4, 1)
@@ -258,7 +258,7 @@
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, c.layout().Slots[slices.IndexFunc(c.layout().Slots, func(s layout.Slot) bool { return s.Disk.Node == nodeName(1) })].Leaving)
 		assert.Equal(t, c.retirementState(nodeName(1)), "running")
-		// A turn that is kept meanwhile does not count on it.
+		// A turn finished meanwhile does not need this disk.
 		assert.NilError(t, c.ledger("front-1").Finish(contextWithTimeout(t, 5*time.Second), finishedTurn("p0", "p0-c", "p0-b", "meanwhile")))
 		c.cancelRetirement(nodeName(1))
 		c.waitUntil(func() bool {
@@ -288,8 +288,8 @@
 	})
 }
 
-// TestBudgetHoldsForConcurrentReservations: however many daemons reserve at once, what fits into the budget is never
-// exceeded.
+// TestBudgetHoldsForConcurrentReservations guards against a budget that is exceeded when several daemons reserve at
+// once.
 func TestBudgetHoldsForConcurrentReservations(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 4, 1)
@@ -345,7 +345,8 @@
 	})
 }
 
-// TestSettledTurnsAreChargedButNotRetained: what they generated counts on every daemon, and no turn goes on from them.
+// TestSettledTurnsAreChargedButNotRetained checks that every daemon counts settled turns and that none continues from
+// them.
 func TestSettledTurnsAreChargedButNotRetained(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
@@ -366,8 +367,8 @@
 	})
 }
 
-// TestReserveReturnsCachedPrompts: a daemon that reserves learns where turns that ran through others left their
-// prompts in cache, and of each part what the last turn left.
+// TestReserveReturnsCachedPrompts checks that a reservation returns where turns through other daemons left their
+// prompts in cache, for each part as of the last turn.
 func TestReserveReturnsCachedPrompts(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
@@ -390,7 +391,7 @@
 	})
 }
 
-// TestReservationsSurviveRestartAndDiskLoss: a budget counts what was reserved before every process was killed and
+// TestReservationsSurviveRestartAndDiskLoss checks that reservations still count after all processes were killed and
 // one disk was lost.
 func TestReservationsSurviveRestartAndDiskLoss(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
@@ -410,8 +411,8 @@
 	})
 }
 
-// TestBudgetHoldsWithPartialConnectivity: each daemon reaches only two of the three disks, and not the same two, so
-// that of three turns each may be missed by another.
+// TestBudgetHoldsWithPartialConnectivity guards against an exceeded budget when each daemon reaches another two of the
+// three disks, so that of three reservations each may be missed by another.
 func TestBudgetHoldsWithPartialConnectivity(t *testing.T) {
 	for range 30 {
 		testbubble.Run(t, func(t *testing.T) {
@@ -434,7 +435,7 @@
 	}
 }
 
-// TestChainRetriesDuringShortOutage: disks that are away for a moment cost a moment, not the turn.
+// TestChainRetriesDuringShortOutage guards against a failed turn when all disks are briefly away.
 func TestChainRetriesDuringShortOutage(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
--- a/internal/turns/ledger/losses_test.go
+++ b/internal/turns/ledger/losses_test.go
@@ -15,8 +15,8 @@
 	"github.com/rookpass/rookpass/internal/turns/ledger"
 )
 
-// TestTwoDisksLostAtOnce: with a tolerance of two, both come back empty, refill at the same time, and then two
-// others are away.
+// TestTwoDisksLostAtOnce checks, with a tolerance of two, that two disks which come back empty are refilled before two
+// others are killed.
 func TestTwoDisksLostAtOnce(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 8, 2)
@@ -32,8 +32,8 @@
 	})
 }
 
-// TestRandomFaults: disks are lost, killed, cut off, replaced and added in a random order, never more at once
-// than is borne; turns are kept meanwhile. At the end every turn that was acknowledged is there.
+// TestRandomFaults loses, kills, cuts off, replaces and adds disks in a random order, within the tolerance, while turns
+// are written. Every acknowledged turn must be readable at the end.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(25) {
 		size := []struct{ disks, tolerance int }{{3, 1}, {4, 1}, {7, 2}, {6, 1}, {8, 2}}[seed%5]
@@ -52,14 +52,14 @@
 		injectFaults(c, r, r.IntN(tolerance)+1, &spares)
 		for i := range 3 {
 			id := fmt.Sprintf("p%d-%d", step, i)
-			// A turn that is refused or unsure is no loss; one that was acknowledged must stay.
+			// Only acknowledged turns must be readable at the end.
 			if err := l.Finish(contextWithTimeout(t, 5*time.Second), finishedTurn(id, id, "", id)); err == nil {
 				acknowledged[id] = "in " + id + "|out " + id + "\n"
 			}
 		}
 		c.awaitAllSlotsHeld()
 	}
-	assert.Assert(t, len(acknowledged) >= 20, "%d of 24 turns were kept", len(acknowledged))
+	assert.Assert(t, len(acknowledged) >= 20, "only %d of 24 turns were acknowledged", len(acknowledged))
 	reader := c.ledger("front-2")
 	for id, text := range acknowledged {
 		assert.Equal(t, chainText(t, reader, id, id), text)
@@ -68,7 +68,7 @@
 	assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
 }
 
-// injectFaults lets something happen to up to count holders of slots.
+// injectFaults applies a random fault to each of count holders of slots.
 func injectFaults(c *cluster, r *rand.Rand, count int, spares *int) {
 	var holders []string
 	for name := range c.holders() {
@@ -78,13 +78,13 @@
 	r.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
 	for _, name := range holders[:count] {
 		switch r.IntN(5) {
-		case 0: // killed and back with its disk
+		case 0: // restarted with its disk
 			c.kill(name)
 			c.start(name, false)
-		case 1: // back with an empty disk
+		case 1: // restarted with an empty disk
 			c.wipe(name)
 			c.start(name, false)
-		case 2: // gone for good; another VM comes
+		case 2: // lost and replaced by another VM
 			c.wipe(name)
 			*spares++
 			c.start(fmt.Sprint("spare-", *spares), false)
@@ -92,7 +92,7 @@
 			c.fabric.Partition("front-1", name)
 			time.Sleep(time.Second)
 			c.fabric.Heal("front-1", name)
-		case 4: // emptied, then gone for good
+		case 4: // retired, then lost
 			if c.canVacate(name) {
 				c.retire(name)
 				c.waitUntil(func() bool { return c.retirementState(name) == "done" })
@@ -102,7 +102,7 @@
 	}
 }
 
-// canVacate tells whether a holder of a slot can be emptied without a spare.
+// canVacate reports whether a holder of a slot can be emptied without a spare.
 func (c *cluster) canVacate(name string) bool {
 	l := c.layout()
 	return l.CanVacate(slices.IndexFunc(l.Slots, func(s layout.Slot) bool { return s.Disk.Node == name }))
--- a/internal/turns/ledger/quorumwrite_test.go
+++ b/internal/turns/ledger/quorumwrite_test.go
@@ -14,7 +14,7 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// holdersOf returns the nodes whose disks hold a turn's whole record.
+// holdersOf returns the nodes whose disks hold a turn's finished record.
 func (c *cluster) holdersOf(program, id string) []string {
 	var holders []string
 	for i := range 64 {
@@ -31,7 +31,7 @@
 	return holders
 }
 
-// regionalLedger returns a ledger on a host in region a, which has the nodes of even numbers.
+// regionalLedger returns a ledger on a host in region a, which has the nodes with even numbers.
 func (c *cluster) regionalLedger(host string, disks int) *ledger.Ledger {
 	regions := map[string]string{host: "a"}
 	for i := range disks {
@@ -43,7 +43,7 @@
 	return l
 }
 
-// TestFinishedTurnsGoToNearestQuorum: what was said takes the shortest ways that make it durable, and no more.
+// TestFinishedTurnsGoToNearestQuorum guards against finished turns that are sent to more or farther disks than needed.
 func TestFinishedTurnsGoToNearestQuorum(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		const disks = 10
@@ -75,7 +75,8 @@
 	})
 }
 
-// TestFallbackDisksReplaceUnresponsiveDisk: for one that is dark, once it has not answered for a while; the next turns do not wait for it.
+// TestFallbackDisksReplaceUnresponsiveDisk checks that an unresponsive disk delays one turn only by fallbackDelay, and
+// later turns not at all.
 func TestFallbackDisksReplaceUnresponsiveDisk(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 5, 2)
@@ -87,7 +88,7 @@
 		began := time.Now()
 		assert.NilError(t, l.Finish(contextWithTimeout(t, time.Second), finishedTurn("p", "second", "first", "second")))
 		assert.Assert(t, time.Since(began) <= 150*time.Millisecond, "%v", time.Since(began))
-		time.Sleep(time.Second) // the dark disk's call has ended
+		time.Sleep(time.Second) // the call to the unresponsive disk has ended
 		began = time.Now()
 		assert.NilError(t, l.Finish(contextWithTimeout(t, time.Second), finishedTurn("p", "third", "second", "third")))
 		assert.Assert(t, time.Since(began) <= 50*time.Millisecond, "%v", time.Since(began))
@@ -95,7 +96,7 @@
 	})
 }
 
-// TestTurnsSurviveLossOfTwoOfThreeDisks: whichever two they are, and whatever else starts again meanwhile.
+// TestTurnsSurviveLossOfTwoOfThreeDisks checks every pair of the three disks that hold a turn.
 func TestTurnsSurviveLossOfTwoOfThreeDisks(t *testing.T) {
 	for _, survivor := range []int{0, 1, 2} {
 		testbubble.Run(t, func(t *testing.T) {
@@ -116,7 +117,7 @@
 			}
 			c.awaitAllSlotsHeld()
 			checkTurns(t, c.ledger("front-2"), programCount)
-			// Their copies are whole again: two more may go.
+			// The copies are restored: two more disks may be lost.
 			again := c.holdersOf("p1", "p1-b")
 			assert.Assert(t, len(again) >= 3, "%v", again)
 		})
