--- a/internal/turns/replica/bootstrap.go
+++ b/internal/turns/replica/bootstrap.go
@@ -15,26 +15,25 @@
 )
 
 const (
-	// registrationDelay is the time from a disk's entry until it looks who else has come. VMs start within 0.3 s of each
-	// other, their daemons a while later.
+	// registrationDelay is the time from a disk's registration until it first lists the registered disks. It covers the
+	// different start times of the VMs and their daemons.
 	registrationDelay = 1200 * time.Millisecond
-	// recheckDelay is the time until the second look, which must show the same disks.
+	// recheckDelay is the time until the next list, which must show the same disks.
 	recheckDelay = 500 * time.Millisecond
-	// writerStagger is how much longer each further disk waits for the layout before it makes one itself.
+	// writerStagger is how much longer each further disk waits for the layout before it writes one itself.
 	writerStagger = time.Second
 )
 
-// bootstrapState is how far a disk has come with the first layout.
+// bootstrapState is a disk's progress in forming the first layout.
 type bootstrapState struct {
 	registered bool
-	// nextCheck is when to nextCheck who has come, seen what the last nextCheck showed.
+	// nextCheck is when to list the registered disks again. lastSeen is what the last list showed.
 	nextCheck time.Time
 	lastSeen  []layout.Disk
 }
 
-// formLayout makes the first layout. Each disk enters itself as an object of its own, so that many do not get into each
-// other's way; the first of them, by name, writes the layout once a second look shows no further disk. Where
-// it does not, the next one does.
+// formLayout creates the first layout. Each disk registers with an object of its own, which avoids conflicts. The first
+// disk by name writes the layout once two lists in a row show the same disks. If it does not, the next one does.
 func (c *Controller) formLayout(ctx context.Context) error {
 	if !c.firstStart {
 		return nil
@@ -52,7 +51,7 @@
 	}
 	rank := slices.Index(disks, c.store.Self())
 	if rank < 0 {
-		f.registered = false // the entry was never carried out
+		f.registered = false // the registration was not stored
 		return nil
 	}
 	unchanged := slices.Equal(disks, f.lastSeen)
@@ -67,7 +66,7 @@
 	return nil
 }
 
-// register writes this disk's entry.
+// register stores this disk's registration.
 func (c *Controller) register(ctx context.Context) error {
 	self := c.store.Self()
 	value, err := json.Marshal(self)
@@ -82,7 +81,7 @@
 	return nil
 }
 
-// registeredDisks returns the disks that have entered themselves, in the order of their names.
+// registeredDisks returns the registered disks, sorted by node name.
 func (c *Controller) registeredDisks(ctx context.Context) ([]layout.Disk, error) {
 	snapshot, err := c.api.List(ctx, c.candidatesPrefix)
 	if err != nil {
@@ -92,7 +91,7 @@
 	for _, object := range snapshot.Objects {
 		var disk layout.Disk
 		if err := json.Unmarshal(object.Value, &disk); err != nil {
-			c.log.WithFields(logrus.Fields{"event": "entry-malformed", "key": object.Key, "error": err}).Error("disk's entry not read")
+			c.log.WithFields(logrus.Fields{"event": "entry-malformed", "key": object.Key, "error": err}).Error("disk registration is malformed")
 			continue
 		}
 		disks = append(disks, disk)
--- a/internal/turns/replica/clean.go
+++ b/internal/turns/replica/clean.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// cleanInterval is the time between two removals of what has outlived its retention.
+	// cleanInterval is the time between two removals of expired programs.
 	cleanInterval = 5 * time.Second
-	// compactionThreshold of the disk makes the oldest file be copied forward, so that it can be removed.
+	// compactionThreshold is the share of the disk above which the oldest segment is copied forward.
 	compactionThreshold = 0.7
 )
 
-// clean removes what has outlived its retention, and copies the oldest file forward on a disk that fills.
+// clean removes expired programs, and on a disk that fills up copies the oldest segment forward so that it can be
+// removed.
 func (c *Controller) clean(now time.Time) {
 	if now.Sub(c.lastClean) < cleanInterval {
 		return
@@ -27,11 +28,11 @@
 	for _, segment := range s.index.expire(now, s.files.ActiveSegment()) {
 		err := s.files.RemoveSegment(segment)
 		if errors.Is(err, turnlog.ErrInUse) {
-			s.index.retrySegment(segment) // looked at again next time
+			s.index.retrySegment(segment) // retried at the next cleaning
 			continue
 		}
 		if err != nil {
-			c.log.WithFields(logrus.Fields{"event": "clean-failed", "error": err}).Warn("turn file not removed")
+			c.log.WithFields(logrus.Fields{"event": "clean-failed", "error": err}).Warn("turn segment not removed")
 		}
 	}
 	if c.diskBytes == 0 || float64(s.files.Bytes()) < compactionThreshold*float64(c.diskBytes) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// copyForward copies a record to the active file.
+// copyForward copies a record to the active segment.
 func (s *Store) copyForward(record *turn.Record, from turnlog.Position) error {
 	pending := s.files.Append(record)
 	defer pending.Release()
--- a/internal/turns/replica/controller.go
+++ b/internal/turns/replica/controller.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// stepInterval is the time between two looks at the layout.
+	// stepInterval is the time between two steps of the controller.
 	stepInterval = 200 * time.Millisecond
 )
 
-// Retirements tells which VMs' disks are to be emptied, and takes word of it.
+// Retirements tells which VMs' disks are to be emptied, and records the progress.
 type Retirements interface {
-	// Retiring tells whether a VM's disk is to be emptied.
+	// Retiring reports whether a VM's disk is to be emptied.
 	Retiring(node string) bool
-	// Report says that a VM's disk is being emptied, or is empty.
+	// Report records that a VM's disk is being emptied or, if done, is empty.
 	Report(ctx context.Context, node string, done bool) error
 }
 
-// Controller keeps a disk's place in the layout. Use NewController, then Run.
+// Controller manages the slot of a disk: it takes a slot over, keeps it and vacates it. Use NewController, then Run.
 type Controller struct {
 	store            *Store
 	api              objectapi.API
@@ -49,26 +49,27 @@
 	unresponsiveSince map[string]time.Time
 	reportedState     string
 	lastClean         time.Time
-	// retiringSince is since when this disk waits to give its slot up; zero where it does not.
+	// retiringSince is when this disk began to wait for a spare disk to take its slot; zero if it does not wait.
 	retiringSince time.Time
 }
 
-// Options are what a controller needs.
+// Options configures a controller.
 type Options struct {
 	Store       *Store
 	API         objectapi.API
 	Links       *peerlink.Pool
 	Retirements Retirements
 	Log         logrus.FieldLogger
-	// Topology is where this daemon stands.
+	// Topology tells how far other data centres are from this daemon.
 	Topology place.Topology
-	// LayoutKey is the layout's object. CandidatesPrefix is the prefix of the objects by which the first disks enter themselves.
+	// LayoutKey is the key of the layout object. CandidatesPrefix is the prefix of the objects that register disks for
+	// the first layout.
 	LayoutKey, CandidatesPrefix string
 	// FirstStart tells that the system starts with empty disks.
 	FirstStart bool
-	// Tolerance is how many disks may be lost at one time.
+	// Tolerance is the number of disks that may be lost at the same time.
 	Tolerance int
-	// DiskBytes is the size of the disk.
+	// DiskBytes is the size of the disk; 0 turns the copying of old segments off.
 	DiskBytes int64
 }
 
@@ -78,11 +79,11 @@
 		firstStart: o.FirstStart, tolerance: o.Tolerance, diskBytes: o.DiskBytes, unresponsiveSince: map[string]time.Time{}}
 }
 
-// ObserveLayout takes the layout's object over from a watch.
+// ObserveLayout takes a version of the layout object from a watch.
 func (c *Controller) ObserveLayout(object objectapi.Object) {
 	l, err := layout.Decode(object.Value)
 	if err != nil {
-		c.log.WithFields(logrus.Fields{"event": "layout-malformed", "version": object.Version, "error": err}).Error("layout not read")
+		c.log.WithFields(logrus.Fields{"event": "layout-malformed", "version": object.Version, "error": err}).Error("layout object is malformed")
 		return
 	}
 	c.mu.Lock()
@@ -93,11 +94,11 @@
 	c.store.UpdateLayout(l)
 }
 
-// Run keeps the disk's place until ctx ends.
+// Run manages the disk's slot and cleans the disk until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := c.step(ctx); err != nil && ctx.Err() == nil {
-			c.log.WithFields(logrus.Fields{"event": "layout-step", "error": err}).Warn("layout step failed; tried again")
+			c.log.WithFields(logrus.Fields{"event": "layout-step", "error": err}).Warn("layout step failed; retrying")
 		}
 		c.clean(time.Now())
 		_ = wait.For(ctx, stepInterval)
@@ -130,15 +131,15 @@
 	next := l.Clone()
 	next.Slots[slot].Joining, next.Slots[slot].Leaving = &self, false
 	c.log.WithFields(logrus.Fields{"event": "slot-join", "slot": slot, "from_node": l.Slots[slot].Disk.Node,
-		"retiring": c.retirements.Retiring(l.Slots[slot].Disk.Node), "epoch": next.Epoch}).Info("taking a slot over")
+		"retiring": c.retirements.Retiring(l.Slots[slot].Disk.Node), "epoch": next.Epoch}).Info("taking over a slot")
 	return c.putLayout(ctx, next)
 }
 
-// keepOrVacate looks after the slot that this disk holds.
+// keepOrVacate handles the slot that this disk holds: it vacates the slot of a retiring VM and keeps any other.
 func (c *Controller) keepOrVacate(ctx context.Context, l *layout.Layout, slot int) error {
 	switch {
 	case l.Slots[slot].Joining != nil:
-		return nil // another disk takes it over
+		return nil // another disk is taking it over
 	case c.retirements.Retiring(c.store.Self().Node):
 		return c.vacate(ctx, l, slot)
 	default:
@@ -146,7 +147,7 @@
 	}
 }
 
-// putLayout replaces the layout if it is still the one that this disk knows.
+// putLayout replaces the layout object, unless it is newer than the version that this disk knows.
 func (c *Controller) putLayout(ctx context.Context, next *layout.Layout) error {
 	value, err := next.Encode()
 	if err != nil {
@@ -160,7 +161,7 @@
 		c.ObserveLayout(object)
 		return nil
 	}
-	// A conflict or a lost answer: what stands there now decides the next step.
+	// After a conflict or a lost answer the next step starts from the stored layout.
 	current, readErr := c.api.Get(ctx, c.layoutKey)
 	if readErr == nil {
 		c.ObserveLayout(current)
@@ -171,7 +172,7 @@
 	return errors.Join(err, readErr)
 }
 
-// reportRetirement tells how far the emptying of this VM's disk has come, once for each change.
+// reportRetirement reports the progress of emptying this VM's disk, once for each change.
 func (c *Controller) reportRetirement(ctx context.Context, l *layout.Layout) error {
 	self := c.store.Self()
 	if !c.retirements.Retiring(self.Node) {
--- a/internal/turns/replica/findslot.go
+++ b/internal/turns/replica/findslot.go
@@ -11,15 +11,15 @@
 
 const (
 	// unresponsiveTimeout is how long a disk's daemon must not have answered before a spare disk takes its slot: longer
-	// than a restart, shorter than the time in which a lost disk has to be replaced.
+	// than a restart of the daemon, shorter than the time in which a lost disk must be replaced.
 	unresponsiveTimeout = 2 * time.Second
-	// pingTimeout bounds a ping; a slowed VM still answers within it.
+	// pingTimeout bounds a ping. A slow VM still answers within it.
 	pingTimeout = 600 * time.Millisecond
 )
 
-// findSlot returns a slot that this disk may take over, or -1: the one that this VM's lost disk held, one whose
-// daemon has not answered for long, or one that is to be emptied. A disk that is gone comes before one that is to
-// be emptied: that one may find another way, and still serves.
+// findSlot returns a slot that this disk may take over, or -1: the one that this VM's lost disk held, else one whose
+// daemon is unresponsive, else one that is to be emptied. The last comes behind the others because its disk still
+// serves and may find another way out of its slot.
 func (c *Controller) findSlot(ctx context.Context, l *layout.Layout) int {
 	node := c.store.Self().Node
 	for i, slot := range l.Slots {
@@ -29,7 +29,7 @@
 	}
 	unresponsive, suspected := c.pingAll(ctx, l)
 	if len(unresponsive) > l.Tolerance {
-		return -1 // more are silent than may be lost: more likely it is this VM that is cut off
+		return -1 // more than may be lost: this VM is probably cut off itself
 	}
 	for _, i := range unresponsive {
 		if joining := l.Slots[i].Joining; joining == nil || c.unresponsive(*joining) {
@@ -47,8 +47,8 @@
 	return -1
 }
 
-// pingAll asks every disk that holds or joins a slot. It returns the slots whose holder has been silent for long,
-// and whether another holder has not answered just now.
+// pingAll pings every disk that holds or joins a slot. It returns the slots whose holder has been unresponsive for
+// unresponsiveTimeout, and whether another holder did not answer this time.
 func (c *Controller) pingAll(ctx context.Context, l *layout.Layout) (unresponsive []int, suspected bool) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/turns/replica/identity.go
+++ b/internal/turns/replica/identity.go
@@ -15,18 +15,19 @@
 
 const identityFile = "disk.json"
 
-// identity is what a disk knows of itself.
+// identity is what a disk stores about itself.
 type identity struct {
-	// Disk is drawn when the disk is first used; a disk that was lost and came back empty draws another.
+	// Disk is a random ID, drawn when the disk is first used: a disk that was lost and came back empty gets another
+	// one.
 	Disk string `json:"disk"`
 	// Fence is the lowest epoch that the disk may still serve.
 	Fence uint64 `json:"fence"`
-	// Layout is the newest one seen.
+	// Layout is the newest known layout.
 	Layout *layout.Layout `json:"layout,omitempty"`
 }
 
-// complete tells whether the disk holds all that its slot must hold: it got the slot when the system was
-// empty, or after it had copied the records from the other slots.
+// complete reports whether the disk holds all that its slot must hold: it got the slot when the system was empty, or
+// after it had copied the records from the other slots.
 func (id *identity) complete() bool {
 	return id.Layout != nil && id.Layout.SlotOf(id.Disk) >= 0
 }
@@ -50,11 +51,11 @@
 
 func newDiskID() string {
 	var id [8]byte
-	_, _ = rand.Read(id[:]) // never fails, by its documentation
+	_, _ = rand.Read(id[:]) // documented never to fail
 	return hex.EncodeToString(id[:])
 }
 
-// saveIdentity makes the identity outlive a loss of power.
+// saveIdentity stores the identity so that it survives a power loss.
 func saveIdentity(dir string, id identity) error {
 	data, err := json.Marshal(id)
 	if err != nil {
--- a/internal/turns/replica/index.go
+++ b/internal/turns/replica/index.go
@@ -10,11 +10,11 @@
 	"github.com/rookpass/rookpass/internal/turns/turnlog"
 )
 
-// retentionMargin is how much longer than its retention a program is kept: answers reach callers late, and
-// copying to another disk takes its time.
+// retentionMargin is how much longer than its retention a program is kept: answers reach callers late, and copying to
+// another disk takes time.
 const retentionMargin = 30 * time.Second
 
-// indexEntry is one turn. Its record lies in the log.
+// indexEntry is one turn. Its record is in the log.
 type indexEntry struct {
 	id       string
 	previous string
@@ -29,21 +29,21 @@
 type program struct {
 	name  string
 	turns []*indexEntry
-	// cachedPrompts holds where its prompts are in cache, by part: what the turn said that ended last.
+	// cachedPrompts holds the program's prompts in servers' caches, by part, as of the turn that ended last.
 	cachedPrompts map[string]turn.CachedPrompt
-	// timeBudget is the longest time that a turn of the program had left when it came: that of its first.
+	// timeBudget is the largest time budget of any turn of the program: that of its first turn.
 	timeBudget time.Duration
 	lastUsed   time.Time
 	retention  time.Duration
 }
 
-// index finds records by program and by turn. Its methods are safe for concurrent use.
+// index finds records by program and by turn. It is safe for concurrent use.
 type index struct {
 	mu       sync.Mutex
 	programs map[string]*program
 	turns    map[string]*indexEntry
 	sequence uint64
-	// liveRecords counts the records of each file that are still in the index.
+	// liveRecords counts the records of each segment that the index still refers to.
 	liveRecords map[uint32]int
 }
 
@@ -51,7 +51,7 @@
 	return &index{programs: map[string]*program{}, turns: map[string]*indexEntry{}, liveRecords: map[uint32]int{}}
 }
 
-// hasState tells whether a record of at least the state is there.
+// hasState reports whether a turn is stored in the given state or a later one.
 func (x *index) hasState(id string, state turn.State) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -59,7 +59,8 @@
 	return e != nil && e.state >= state
 }
 
-// add enters a record, unless a later state of the turn is there. It reports whether it was entered.
+// add indexes a record, unless the turn is already stored in the same state or a later one. It reports whether the
+// record was added.
 func (x *index) add(r *turn.Record, position turnlog.Position, now time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -90,7 +91,7 @@
 	return true
 }
 
-// budgetEntries returns a program's turns.
+// budgetEntries returns the budget entries of a program's turns.
 func (x *index) budgetEntries(name string) []BudgetEntry {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -105,7 +106,7 @@
 	return list
 }
 
-// cachedPrompts returns where a program's prompts are in cache, and the time that it was given.
+// cachedPrompts returns a program's prompts in servers' caches, and its time budget.
 func (x *index) cachedPrompts(name string) ([]turn.CachedPrompt, time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -116,7 +117,8 @@
 	return slices.Collect(maps.Values(p.cachedPrompts)), p.timeBudget
 }
 
-// chain returns where the finished turns lie from id backwards, and the first that is missing.
+// chain returns the positions of the finished turns from id backwards, and the ID of the first that is missing. It
+// extends the retention of their programs.
 func (x *index) chain(id string, now time.Time) ([]turnlog.Position, string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -133,14 +135,14 @@
 	return positions, ""
 }
 
-// exportedTurn is a turn to export.
+// exportedTurn is a turn in the list that is exported for a slot.
 type exportedTurn struct {
 	id       string
 	state    turn.State
 	sequence uint64
 }
 
-// position returns where a turn's record lies.
+// position returns where a turn's record is stored.
 func (x *index) position(id string) (turnlog.Position, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -151,7 +153,7 @@
 	return e.position, true
 }
 
-// exportAfter returns, in order, up to limit records that were entered exportAfter a place and whose program is wanted.
+// exportAfter returns, in order of their sequence, up to limit turns of wanted programs behind the given sequence.
 func (x *index) exportAfter(sequence uint64, limit int, wanted func(program string) bool) []exportedTurn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -170,14 +172,13 @@
 	return found[:min(limit, len(found))]
 }
 
-// indexedTurn is a turn that the index knows, with its program.
+// indexedTurn is a turn with its program and the position of its record.
 type indexedTurn struct {
 	TurnState
 	program  string
 	position turnlog.Position
 }
 
-// allTurns returns every turn.
 func (x *index) allTurns() []indexedTurn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -188,7 +189,7 @@
 	return list
 }
 
-// expire forgets programs whose retention has passed, and returns the files in which nothing is left.
+// expire removes programs whose retention has passed, and returns the segments without a live record.
 func (x *index) expire(now time.Time, active uint32) []uint32 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -212,14 +213,14 @@
 	return empty
 }
 
-// retrySegment remembers a file that expire has named and that could not be removed.
+// retrySegment makes expire return a segment again that could not be removed.
 func (x *index) retrySegment(segment uint32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.liveRecords[segment] += 0
 }
 
-// oldestSegmentRecords returns the records of the file with the lowest number, but for the active one.
+// oldestSegmentRecords returns the live records of the segment with the lowest number, unless that is the active one.
 func (x *index) oldestSegmentRecords(active uint32) []turnlog.Position {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -239,7 +240,7 @@
 	return positions
 }
 
-// relocate notes that a record was copied to another place.
+// relocate updates the position of a record that was copied.
 func (x *index) relocate(id string, from, to turnlog.Position) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/turns/replica/service.go
+++ b/internal/turns/replica/service.go
@@ -17,12 +17,12 @@
 var Error = errs.Class("replica")
 
 const (
-	// exportPageTurns and pullBytes bound a page: it should take a few milliseconds of the link.
+	// exportPageTurns and pullPageBytes bound a page, so that it does not hold up other calls on the link.
 	exportPageTurns = 2000
 	pullPageBytes   = 256 << 10
 )
 
-// Store is one disk's records and what it believes of the layout.
+// Store holds one disk's records and the newest layout that it knows.
 type Store struct {
 	log  logrus.FieldLogger
 	dir  string
@@ -35,7 +35,7 @@
 	id identity
 }
 
-// OpenStore reads the disk at dir. self tells where its daemon answers; its disk ID is filled in.
+// OpenStore opens the store at dir. self is the disk with its daemon's address; its ID is filled in.
 func OpenStore(dir string, self layout.Disk, log logrus.FieldLogger) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, Error.Wrap(err)
@@ -53,24 +53,24 @@
 	}
 	_, turns := s.Size()
 	log.WithFields(logrus.Fields{"event": "disk-open", "disk": id.Disk, "turns": turns,
-		"complete": id.complete(), "fence": id.Fence}).Info("disk read")
+		"complete": id.complete(), "fence": id.Fence}).Info("disk opened")
 	return s, nil
 }
 
 // Self returns the disk.
 func (s *Store) Self() layout.Disk { return s.self }
 
-// Syncs returns how often the disk was synced for records, and the time that it took in all.
+// Syncs returns the number of syncs of records and their total duration.
 func (s *Store) Syncs() (n int64, busy time.Duration) { return s.files.Syncs() }
 
-// Layout returns the newest layout seen, or nil.
+// Layout returns the newest known layout, or nil.
 func (s *Store) Layout() *layout.Layout {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.id.Layout
 }
 
-// UpdateLayout takes a layout over if it is newer than the one known. It reports whether it was.
+// UpdateLayout saves a layout and adopts it if it is newer than the known one. It reports whether it was adopted.
 func (s *Store) UpdateLayout(l *layout.Layout) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,11 +85,11 @@
 	}
 	s.id = id
 	s.log.WithFields(logrus.Fields{"event": "layout", "epoch": l.Epoch,
-		"slot": l.SlotOf(s.self.ID), "joining": l.SlotJoinedBy(s.self.ID)}).Info("layout in force")
+		"slot": l.SlotOf(s.self.ID), "joining": l.SlotJoinedBy(s.self.ID)}).Info("layout updated")
 	return true
 }
 
-// raiseFence makes the disk serve no layout older than epoch from now on, also after a restart.
+// raiseFence makes the disk refuse layouts older than epoch from now on, also after a restart.
 func (s *Store) raiseFence(epoch uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// check compares what a request means with what the disk is.
+// check compares a request's target with this disk, and returns the header of the reply.
 func (s *Store) check(target Target) Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +123,7 @@
 	return h
 }
 
-// write makes a record durable, unless it is already there.
+// write makes a record durable, unless the turn is already stored in this state or a later one.
 func (s *Store) write(r *turn.Record) error {
 	if s.index.hasState(r.ID, r.State) {
 		return nil
@@ -137,13 +137,13 @@
 	return nil
 }
 
-// Service answers daemons. Its exported methods are net/rpc methods.
+// Service serves a store to other daemons. Its exported methods are net/rpc methods.
 type Service struct{ store *Store }
 
 // NewService returns the service of a store.
 func NewService(store *Store) *Service { return &Service{store: store} }
 
-// Write keeps a record.
+// Write stores a record.
 func (v *Service) Write(args *WriteArgs, reply *WriteReply) error {
 	s := v.store
 	reply.Header = s.check(args.Target)
@@ -155,7 +155,7 @@
 		reply.Header.Status = Failed
 		return nil
 	}
-	// A take-over may have raised the fence while the disk wrote: its export may lack this record.
+	// A take-over may have raised the fence during the write, and its export may lack this record.
 	if after := s.check(args.Target); after.Status != OK {
 		reply.Header = after
 		return nil
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// Export tells what the disk has of what a slot must hold, a page at a time, and from then on serves no layout from before its
-// take-over: a record that is acknowledged later went to the new disk as well.
+// Export lists the turns on this disk that a slot must hold, a page at a time. From then on the disk refuses layouts
+// older than that of the take-over: a record that is acknowledged later was written to the new disk as well.
 func (v *Service) Export(args *ExportArgs, reply *ExportReply) error {
 	s := v.store
 	s.UpdateLayout(&args.Layout)
@@ -224,7 +224,7 @@
 	return nil
 }
 
-// Pull returns the records of some turns, a page of them at a time.
+// Pull returns the records of some turns, a page at a time.
 func (v *Service) Pull(args *PullArgs, reply *PullReply) error {
 	s := v.store
 	reply.Header = s.check(args.Target)
@@ -236,7 +236,7 @@
 		reply.Next = i + 1
 		position, there := s.index.position(id)
 		if !there {
-			continue // it was kept for long enough
+			continue // expired
 		}
 		record, err := s.files.Read(position)
 		if err != nil {
@@ -252,7 +252,7 @@
 	return nil
 }
 
-// Lacked tells which of some turns the disk does not hold.
+// Lacked reports which of some turns the disk does not hold.
 func (v *Service) Lacked(args *LackedArgs, reply *LackedReply) error {
 	reply.Header = v.store.check(args.Target)
 	if reply.Header.Status != OK {
@@ -266,20 +266,20 @@
 	return nil
 }
 
-// Ping tells whether the disk is the one that is meant.
+// Ping reports whether this disk is the requested one.
 func (v *Service) Ping(args *PingArgs, reply *PingReply) error {
 	reply.Header = v.store.check(Target{Disk: args.Disk, Epoch: 1 << 62})
 	return nil
 }
 
-// Close ends the store; records that are not yet durable are refused.
+// Close closes the store. Later writes fail.
 func (s *Store) Close() error { return s.files.Close() }
 
-// Size returns the numbers of programs and turns kept.
+// Size returns the numbers of stored programs and turns.
 func (s *Store) Size() (programs, turns int) { return s.index.counts() }
 
-// Bytes returns what the turns take on the disk.
+// Bytes returns the size of the stored records on the disk.
 func (s *Store) Bytes() int64 { return s.files.Bytes() }
 
-// Turns returns a program's turns.
+// Turns returns the budget entries of a program's turns.
 func (s *Store) Turns(program string) []BudgetEntry { return s.index.budgetEntries(program) }
--- a/internal/turns/replica/service_test.go
+++ b/internal/turns/replica/service_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-// layoutOf returns a layout of one epoch in which the disks hold the slots.
+// layoutOf returns a layout in which the disks hold the slots.
 func layoutOf(epoch uint64, disks ...layout.Disk) *layout.Layout {
 	l := &layout.Layout{Epoch: epoch, Tolerance: 1}
 	for _, d := range disks {
@@ -50,8 +50,8 @@
 		Input: []byte("in"), Output: []byte("out\n")}
 }
 
-// TestFenceSurvivesRestart: after a take-over has begun to copy, writes under the older layout are refused,
-// by the next process too: the copy may lack them.
+// TestFenceSurvivesRestart guards against writes under an older layout after a take-over has begun to copy: the copy
+// may lack them.
 func TestFenceSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	s := openStore(t, dir)
@@ -85,7 +85,7 @@
 	assert.Equal(t, writeRecord(t, s, first.ID, 1, finishedTurn("t1", "")).Header.Status, WrongDisk)
 }
 
-// TestOnlySlotHoldersAreComplete: a disk that holds no slot may lack records, and so may not say what is absent.
+// TestOnlySlotHoldersAreComplete guards against a false not-found by a disk that holds no slot and may lack records.
 func TestOnlySlotHoldersAreComplete(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	self := s.Self()
--- a/internal/turns/replica/takeover.go
+++ b/internal/turns/replica/takeover.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// pageTimeout bounds one page: a quarter of a megabyte over a link that others use too.
+	// pageTimeout bounds the call for one page.
 	pageTimeout = 3 * time.Second
-	// pullBatchTurns bounds the turns that one question names.
+	// pullBatchTurns is the number of turns that one call requests.
 	pullBatchTurns = 500
 )
 
-// takeOver copies what the slot must hold from the other slots, then makes this disk the slot's holder. All others are asked
-// what they have; what is missing here is then copied once, from the nearest that has it. So a second try goes on where the
-// first one failed, and little travels far.
+// takeOver copies what the slot must hold from the other slots, then makes this disk the slot's holder. All others are
+// asked which turns they hold; each missing record is then copied once, from the nearest disk that has it. A retry
+// copies only what is still missing.
 //
-// A durable record lies on at least tolerance + 1 slots of its group, so on tolerance of the others; all
-// others but tolerance - 1 hold every one between them.
+// A durable record is on at least tolerance + 1 slots of its group, so on at least tolerance of the others: the lists
+// of all others but tolerance - 1 name every durable record.
 func (c *Controller) takeOver(ctx context.Context, l *layout.Layout, slot int) error {
 	began := time.Now()
 	missing := newMissingTurns(c.store.index)
 	unanswered := c.listMissing(ctx, l, slot, missing)
 	if unanswered > max(0, l.Tolerance-1) {
-		return Error.New("slot %d: %d of %d disks did not tell what they have", slot, unanswered, l.OccupiedSlots()-1)
+		return Error.New("slot %d: %d of %d disks did not list their turns", slot, unanswered, l.OccupiedSlots()-1)
 	}
 	copied, err := c.copyMissing(ctx, l, missing)
 	if err != nil {
@@ -43,11 +43,12 @@
 	next.Slots[slot].Disk = c.store.Self()
 	next.Slots[slot].Joining = nil
 	c.log.WithFields(logrus.Fields{"event": "slot-filled", "slot": slot, "records": copied,
-		"ms": time.Since(began).Milliseconds(), "epoch": next.Epoch}).Info("slot copied")
+		"ms": time.Since(began).Milliseconds(), "epoch": next.Epoch}).Info("slot taken over")
 	return c.putLayout(ctx, next)
 }
 
-// listMissing asks all other slots what they have of what the slot must hold, and returns how many did not tell.
+// listMissing asks all other slots which turns they hold of those that the slot must hold, and returns how many disks
+// did not answer.
 func (c *Controller) listMissing(ctx context.Context, l *layout.Layout, slot int, missing *missingTurns) (unanswered int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -63,14 +64,14 @@
 			mu.Lock()
 			defer mu.Unlock()
 			unanswered++
-			c.log.WithFields(logrus.Fields{"event": "list-failed", "slot": slot, "from": other.Disk.Node, "error": err}).Warn("a disk did not tell what it has")
+			c.log.WithFields(logrus.Fields{"event": "list-failed", "slot": slot, "from": other.Disk.Node, "error": err}).Warn("disk did not list its turns")
 		})
 	}
 	wg.Wait()
 	return unanswered
 }
 
-// listFrom asks one disk.
+// listFrom asks one disk for the list of its turns, page by page.
 func (c *Controller) listFrom(ctx context.Context, l *layout.Layout, slot int, from layout.Disk, missing *missingTurns) error {
 	args := ExportArgs{Layout: *l, Slot: slot, From: from.ID}
 	for {
@@ -89,14 +90,14 @@
 	}
 }
 
-// callPage makes one call of a copy.
+// callPage calls one method of a disk's service, bounded by pageTimeout.
 func callPage[Reply any](ctx context.Context, links *peerlink.Pool, from layout.Disk, method string, args any) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return peerlink.Call[Reply](ctx, links.LinkTo(from.Address), ServiceName+"."+method, args)
 }
 
-// copyMissing copies what is missing, from the nearest disks first, and returns how many records were new here.
+// copyMissing copies the missing records, from the nearest disks first, and returns how many were new here.
 func (c *Controller) copyMissing(ctx context.Context, l *layout.Layout, missing *missingTurns) (copied int, err error) {
 	var sources []layout.Disk
 	for _, disk := range l.Disks() {
@@ -111,16 +112,16 @@
 		n, pullErr := c.pullFrom(ctx, l, from, missing)
 		copied += n
 		if pullErr != nil {
-			err = pullErr // another disk may have what this one did not give
+			err = pullErr // another disk may have the records
 		}
 	}
 	if missing.len() == 0 {
 		return copied, nil
 	}
-	return copied, Error.New("%d records of which others told were given by none: %w", missing.len(), err)
+	return copied, Error.New("%d listed records could not be copied from any disk: %w", missing.len(), err)
 }
 
-// pullFrom copies what one disk has of what is missing. What it no longer has was kept for long enough.
+// pullFrom copies the missing records that one disk holds. A turn that the disk no longer holds has expired.
 func (c *Controller) pullFrom(ctx context.Context, l *layout.Layout, from layout.Disk, missing *missingTurns) (copied int, err error) {
 	ids := missing.heldBy(from)
 	for len(ids) > 0 {
@@ -143,12 +144,12 @@
 	return copied, nil
 }
 
-// missingTurns is what this disk lacks of what others have. It is safe for concurrent use.
+// missingTurns are the turns that other disks hold and this one does not. It is safe for concurrent use.
 type missingTurns struct {
 	own *index
 
 	mu sync.Mutex
-	// turns has the latest state of each that is lacked, and who has it so.
+	// turns holds, by ID, the latest known state of each turn and the disks that hold it in that state.
 	turns map[string]missingTurn
 }
 
@@ -161,7 +162,7 @@
 	return &missingTurns{own: own, turns: map[string]missingTurn{}}
 }
 
-// add notes what a disk has.
+// add records what a disk holds.
 func (s *missingTurns) add(from layout.Disk, turns []TurnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +179,7 @@
 	}
 }
 
-// heldBy returns what is lacked that a disk has.
+// heldBy returns the IDs of the missing turns that a disk holds.
 func (s *missingTurns) heldBy(from layout.Disk) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +193,7 @@
 	return ids
 }
 
-// remove notes that turns are lacked no more.
+// remove records that turns are no longer missing.
 func (s *missingTurns) remove(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,7 +208,7 @@
 	return len(s.turns)
 }
 
-// writeAll makes records durable with as few syncs as come, and returns how many were new here.
+// writeAll makes records durable, with as few syncs as possible, and returns how many were new here.
 func (s *Store) writeAll(records []turn.Record) (int, error) {
 	var pending []turnlog.PendingAppend
 	var added []int
--- a/internal/turns/replica/takeover_test.go
+++ b/internal/turns/replica/takeover_test.go
@@ -12,7 +12,8 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// TestMissingTurns: the latest state of a turn counts, and only those disks that have it so; what is here already is not lacked.
+// TestMissingTurns checks that only the latest state of a turn counts, with the disks that hold it, and that turns
+// which are stored here are not missing.
 func TestMissingTurns(t *testing.T) {
 	own := newIndex()
 	here := finishedTurn("here", "")
@@ -30,7 +31,7 @@
 	assert.Equal(t, s.len(), 1)
 }
 
-// TestPullPages: every record comes once, however large they are together; those that are gone are passed over.
+// TestPullPages checks that large records arrive exactly once over several pages, and that missing ones are skipped.
 func TestPullPages(t *testing.T) {
 	s := openStore(t, t.TempDir())
 	self := s.Self()
--- a/internal/turns/replica/vacate.go
+++ b/internal/turns/replica/vacate.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// spareWait is how long a retiring disk waits for a spare one to take its slot: several steps of one.
+	// spareWait is how long a retiring disk waits for a spare disk to take its slot over.
 	spareWait = time.Second
-	// lackedBatchTurns is how many turns one question names; some 60 bytes each.
+	// lackedBatchTurns is the number of turns in one call of Lacked.
 	lackedBatchTurns = 2000
-	// lackedTimeout bounds one question, pushTimeout one record.
+	// lackedTimeout bounds one call of Lacked, pushTimeout the write of one record.
 	lackedTimeout = 2 * time.Second
 	pushTimeout   = time.Second
-	// maxConcurrentPushes bounds the records on their way to one disk, so that they share syncs.
+	// maxConcurrentPushes bounds the concurrent writes to one disk, which share syncs there.
 	maxConcurrentPushes = 16
 )
 
-// vacate takes this disk out of the layout where no other disk takes its slot over, in three steps, each
-// a new layout or a condition for it:
+// vacate takes this disk out of the layout where no other disk takes its slot over, in three steps. Each is a new
+// layout or a condition for one:
 //
-//   - This disk serves no older layout from here on, then the slot is marked as leaving. What was durable with this
-//     disk's help is now known to it; from here on it helps no more.
-//   - Every record here is copied until a quorum of the slots that stay in its group holds it.
-//   - The slot becomes vacant. Groups that had it take another one in its place; a quorum of the old group's slots that
-//     stay is a quorum of the new group.
+//   - This disk stops serving older layouts, then the slot is marked as leaving. All records that became durable with this
+//     disk's acknowledgement are on it by then, and no later record counts on it.
+//   - Every record on this disk is copied until a quorum of the remaining slots of its group holds it.
+//   - The slot becomes vacant. Groups that had it get another slot in its place; a quorum of the remaining slots of the
+//     old group is a quorum of the new group.
 func (c *Controller) vacate(ctx context.Context, l *layout.Layout, slot int) error {
 	if !l.Slots[slot].Leaving {
 		return c.startVacating(ctx, l, slot)
@@ -43,10 +43,11 @@
 	next := l.Clone()
 	next.Slots[slot] = layout.Slot{DataCentre: l.Slots[slot].DataCentre, Vacant: true}
 	c.log.WithFields(logrus.Fields{"event": "slot-vacant", "slot": slot, "records": copied,
-		"ms": time.Since(began).Milliseconds(), "epoch": next.Epoch}).Info("slot given up")
+		"ms": time.Since(began).Milliseconds(), "epoch": next.Epoch}).Info("slot vacated")
 	return c.putLayout(ctx, next)
 }
 
+// startVacating marks the slot as leaving once no spare disk has taken it over within spareWait.
 func (c *Controller) startVacating(ctx context.Context, l *layout.Layout, slot int) error {
 	if c.retiringSince.IsZero() {
 		c.retiringSince = time.Now()
@@ -59,11 +60,11 @@
 	if err := c.store.raiseFence(next.Epoch); err != nil {
 		return err
 	}
-	c.log.WithFields(logrus.Fields{"event": "slot-leave", "slot": slot, "epoch": next.Epoch, "live": l.OccupiedSlots()}).Info("giving a slot up: no spare disk took it")
+	c.log.WithFields(logrus.Fields{"event": "slot-leave", "slot": slot, "epoch": next.Epoch, "live": l.OccupiedSlots()}).Info("vacating a slot that no spare disk took over")
 	return c.putLayout(ctx, next)
 }
 
-// cancelVacating takes a slot back that was to be given up, where the retirement was withdrawn.
+// cancelVacating clears the leaving mark of a slot whose retirement was withdrawn.
 func (c *Controller) cancelVacating(ctx context.Context, l *layout.Layout, slot int) error {
 	c.retiringSince = time.Time{}
 	if !l.Slots[slot].Leaving {
@@ -74,7 +75,7 @@
 	return c.putLayout(ctx, next)
 }
 
-// copyToRemaining brings every record of this disk to a quorum of the slots that stay in its group, and returns how
+// copyToRemaining copies every record of this disk to a quorum of the remaining slots of its group, and returns how
 // many were sent.
 func (c *Controller) copyToRemaining(ctx context.Context, l *layout.Layout, slot int) (int, error) {
 	records := c.store.index.allTurns()
@@ -107,7 +108,7 @@
 	}
 	for i, n := range holders {
 		if n < l.Quorum() {
-			return sent, Error.New("slot %d: turn %s of program %s is on %d disks that stay, not %d", slot, records[i].ID, records[i].program, n, l.Quorum())
+			return sent, Error.New("slot %d: turn %s of program %s is on %d of %d remaining disks that it needs", slot, records[i].ID, records[i].program, n, l.Quorum())
 		}
 	}
 	return sent, nil
