--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -9,14 +9,14 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// TestCallsToThePlatformDoNotGrowWithStoreDaemons: three of them read its objects where one may be lost, however many there
+// TestPlatformCallsDoNotGrowWithStoreDaemons: three of them read its objects where one may be lost, however many there
 // are. Each call has a price. With every daemon reading them, 4, 8 and 16 made 720, 1,440 and 2,880 calls in two calm
 // minutes; now each makes 624.
-func TestCallsToThePlatformDoNotGrowWithStoreDaemons(t *testing.T) {
+func TestPlatformCallsDoNotGrowWithStoreDaemons(t *testing.T) {
 	calls := map[int]int{}
 	for _, stores := range []int{4, 8, 16} {
 		testbubble.Run(t, func(t *testing.T) {
-			w := newWorldOf(t, 2, stores)
+			w := newClusterOf(t, 2, stores)
 			time.Sleep(20 * time.Second)
 			before := w.platform.Calls()
 			time.Sleep(2 * time.Minute)
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -36,31 +36,31 @@
 }
 
 const (
-	worldFronts  = 3
-	worldStores  = 4
-	worldServers = 6
-	storeHost    = "platform"
-	storeAddress = storeHost + ":1"
+	defaultFronts = 3
+	defaultStores = 4
+	serverCount   = 6
+	storeHost     = "platform"
+	storeAddress  = storeHost + ":1"
 )
 
-// world is a whole system in virtual time: daemons as they are in production, between stand-ins, on a network
+// cluster is a whole system in virtual time: daemons as they are in production, between stand-ins, on a network
 // in memory.
-type world struct {
+type cluster struct {
 	t        *testing.T
 	fabric   *memnet.Fabric
 	platform *platformtest.Store
 	checker  *workload.Checker
 	servers  []*workload.Server
-	fronts   []*member
-	stores   []*member
+	fronts   []*vm
+	stores   []*vm
 	dir      string
 	seeds    []string
 	ended    sync.WaitGroup
 
-	// withdrawal is within which a withdrawn key must be refused everywhere; 0 where that is not asked.
-	withdrawal time.Duration
-	// evacuation is within which nothing more may go to an evacuated data centre; 0 where none ever is.
-	evacuation time.Duration
+	// maxRevocationDelay is within which a withdrawn key must be refused everywhere; 0 where that is not asked.
+	maxRevocationDelay time.Duration
+	// maxEvacuationDelay is within which nothing more may go to an evacuated data centre; 0 where none ever is.
+	maxEvacuationDelay time.Duration
 	// output takes the daemons' log lines; nil for nobody.
 	output io.Writer
 
@@ -70,54 +70,56 @@
 	organisations []platformtest.Organisation
 }
 
-// member is a VM and the daemon's present life on it.
-type member struct {
+// vm is a VM and the daemon's present life on it.
+type vm struct {
 	name, ip, role, dataCentre string
-	lives, disks               int
+	starts, diskGeneration     int
 	// host is the name of the present life on the network.
 	host string
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-func (m *member) callers() string { return m.ip + ":8149" }
+func (m *vm) callerAddress() string { return m.ip + ":8149" }
 
-func newWorld(t *testing.T) *world { return newWorldOf(t, worldFronts, worldStores) }
+func newCluster(t *testing.T) *cluster { return newClusterOf(t, defaultFronts, defaultStores) }
 
-// newWorldOf returns a world with so many VMs of each kind, spread over three data centres.
-func newWorldOf(t *testing.T, fronts, stores int) *world { return newStrictWorld(t, fronts, stores, 0) }
+// newClusterOf returns a world with so many VMs of each kind, spread over three data centres.
+func newClusterOf(t *testing.T, fronts, stores int) *cluster {
+	return newRevocationCluster(t, fronts, stores, 0)
+}
 
-// newLoggedWorld returns one whose daemons' log lines are kept.
-func newLoggedWorld(t *testing.T, lines io.Writer) *world {
-	return newWorldWith(t, worldFronts, worldStores, &world{output: lines})
+// newLoggedCluster returns one whose daemons' log lines are kept.
+func newLoggedCluster(t *testing.T, lines io.Writer) *cluster {
+	return newClusterWith(t, defaultFronts, defaultStores, &cluster{output: lines})
 }
 
-// newStrictWorld returns one in which a withdrawn key must be refused everywhere after a time.
-func newStrictWorld(t *testing.T, fronts, stores int, withdrawal time.Duration) *world {
-	return newWorldWith(t, fronts, stores, &world{withdrawal: withdrawal})
+// newRevocationCluster returns one in which a withdrawn key must be refused everywhere after a time.
+func newRevocationCluster(t *testing.T, fronts, stores int, maxRevocationDelay time.Duration) *cluster {
+	return newClusterWith(t, fronts, stores, &cluster{maxRevocationDelay: maxRevocationDelay})
 }
 
-// newWorldWith fills in a world of which some choices are made.
-func newWorldWith(t *testing.T, fronts, stores int, w *world) *world {
+// newClusterWith fills in a world of which some choices are made.
+func newClusterWith(t *testing.T, fronts, stores int, w *cluster) *cluster {
 	w.t, w.fabric, w.platform, w.checker, w.dir = t, memnet.New(), platformtest.NewStore(), workload.NewChecker(), t.TempDir()
 	w.organisations = workload.Organisations()
 	w.serve(storeHost, storeAddress, w.platform)
-	for i := range worldServers {
+	for i := range serverCount {
 		address := fmt.Sprintf("server-%d:1", i)
 		s := workload.NewServer(i, address, w.checker)
 		w.servers = append(w.servers, s)
 		w.serveWith(fmt.Sprint("server-", i), address, &http.Server{Handler: s, ConnContext: s.ConnContext})
 		w.platform.SetServer(s.Entry())
 	}
-	w.configure()
+	w.publishConfig()
 	for i := range stores {
 		w.seeds = append(w.seeds, fmt.Sprintf("10.1.0.%d:8144", i+1))
-		w.stores = append(w.stores, &member{name: fmt.Sprint("store-", i), ip: fmt.Sprint("10.1.0.", i+1), role: "store", dataCentre: fmt.Sprint("dc", i%3)})
+		w.stores = append(w.stores, &vm{name: fmt.Sprint("store-", i), ip: fmt.Sprint("10.1.0.", i+1), role: "store", dataCentre: fmt.Sprint("dc", i%3)})
 	}
 	for i := range fronts {
-		w.fronts = append(w.fronts, &member{name: fmt.Sprint("front-", i), ip: fmt.Sprint("10.0.0.", i+1), role: "front", dataCentre: fmt.Sprint("dc", i%3)})
+		w.fronts = append(w.fronts, &vm{name: fmt.Sprint("front-", i), ip: fmt.Sprint("10.0.0.", i+1), role: "front", dataCentre: fmt.Sprint("dc", i%3)})
 	}
-	for _, m := range w.members() {
+	for _, m := range w.vms() {
 		w.start(m, true)
 	}
 	t.Cleanup(w.close)
@@ -125,22 +127,22 @@
 	return w
 }
 
-func (w *world) members() []*member { return append(append([]*member(nil), w.stores...), w.fronts...) }
+func (w *cluster) vms() []*vm { return append(append([]*vm(nil), w.stores...), w.fronts...) }
 
 // serve answers at an address of a host until the test ends.
-func (w *world) serve(host, address string, handler http.Handler) {
+func (w *cluster) serve(host, address string, handler http.Handler) {
 	w.serveWith(host, address, &http.Server{Handler: handler})
 }
 
-func (w *world) serveWith(host, address string, server *http.Server) {
+func (w *cluster) serveWith(host, address string, server *http.Server) {
 	listener, err := w.fabric.Listen(host, address)
 	assert.NilError(w.t, err)
 	go func() { _ = server.Serve(listener) }()
 	w.t.Cleanup(func() { _ = server.Close() })
 }
 
-// configure puts the next version in force and returns it.
-func (w *world) configure() int64 {
+// publishConfig puts the next version in force and returns it.
+func (w *cluster) publishConfig() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
@@ -148,27 +150,27 @@
 	return w.version
 }
 
-func (w *world) newest() int64 {
+func (w *cluster) newestVersion() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version
 }
 
 // start begins a life of a daemon on what its disk holds.
-func (w *world) start(m *member, first bool) {
-	m.lives++
-	m.host = fmt.Sprintf("%s/%d", m.name, m.lives)
+func (w *cluster) start(m *vm, first bool) {
+	m.starts++
+	m.host = fmt.Sprintf("%s/%d", m.name, m.starts)
 	settings := platform.Settings{
 		Node: m.name, IP: m.ip, DataCentre: m.dataCentre, FirstStart: first, Seeds: w.seeds[:3],
 		FirstPort: 7380, MemoryBytes: 16 << 30, MaxDescriptors: 4096, ToleratedDiskFailures: 1,
 		StoreAddress: storeAddress, StopGrace: 8 * time.Second, Heartbeat: 1200 * time.Millisecond,
-		MaxRevocationDelay: w.withdrawal, MaxConfigDelay: inForce, MaxEvacuationDelay: w.evacuation, Quota: quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
+		MaxRevocationDelay: w.maxRevocationDelay, MaxConfigDelay: configDeadline, MaxEvacuationDelay: w.maxEvacuationDelay, Quota: quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
 	}
 	if m.role == "front" {
-		settings.CallerAddress, settings.ReadyAddress = m.callers(), m.ip+":8141"
+		settings.CallerAddress, settings.ReadyAddress = m.callerAddress(), m.ip+":8141"
 	} else {
 		settings.ControlAddress = m.ip + ":8144"
-		settings.DataDir = filepath.Join(w.dir, fmt.Sprint(m.name, ".", m.disks))
+		settings.DataDir = filepath.Join(w.dir, fmt.Sprint(m.name, ".", m.diskGeneration))
 	}
 	name := m.host
 	b, err := newBase(host{
@@ -177,7 +179,7 @@
 			return w.fabric.Dial(ctx, name, address)
 		},
 		load:   func() (platform.Settings, error) { return settings, nil },
-		output: w.log(),
+		output: w.logOutput(),
 	}, settings, "info", m.role)
 	assert.NilError(w.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -190,7 +192,7 @@
 		} else {
 			err = b.runStore(ctx)
 		}
-		b.stopped("test", ignoreEnd(err))
+		b.logStop("test", ignoreCanceled(err))
 	})
 }
 
@@ -212,8 +214,8 @@
 	return b.text.String()
 }
 
-// log takes the daemons' lines where a developer asks for them.
-func (w *world) log() io.Writer {
+// logOutput takes the daemons' lines where a developer asks for them.
+func (w *cluster) logOutput() io.Writer {
 	if w.output != nil {
 		return w.output
 	}
@@ -224,7 +226,7 @@
 }
 
 // kill ends a daemon's process at once.
-func (w *world) kill(m *member) {
+func (w *cluster) kill(m *vm) {
 	w.fabric.Kill(m.host)
 	m.stop()
 	if m.role == "store" {
@@ -233,17 +235,17 @@
 }
 
 // restart kills a daemon, and starts it again after a time; lost tells that its disk comes back empty.
-func (w *world) restart(m *member, after time.Duration, lost bool) {
+func (w *cluster) restart(m *vm, after time.Duration, lost bool) {
 	w.kill(m)
 	time.Sleep(after)
 	if lost {
-		m.disks++
+		m.diskGeneration++
 	}
 	w.start(m, false)
 }
 
 // cut separates a daemon from some hosts for a time.
-func (w *world) cut(m *member, hosts []string, d time.Duration) {
+func (w *cluster) cut(m *vm, hosts []string, d time.Duration) {
 	for _, h := range hosts {
 		w.fabric.Partition(m.host, h)
 	}
@@ -253,7 +255,7 @@
 	}
 }
 
-func hosts(members []*member) []string {
+func hostNames(members []*vm) []string {
 	var names []string
 	for _, m := range members {
 		names = append(names, m.host)
@@ -262,22 +264,22 @@
 }
 
 // caller returns a caller of all fronts.
-func (w *world) caller(seed uint64) *workload.Caller {
+func (w *cluster) caller(seed uint64) *workload.Caller {
 	var addresses []string
 	for _, m := range w.fronts {
-		addresses = append(addresses, m.callers())
+		addresses = append(addresses, m.callerAddress())
 	}
 	c := workload.NewCaller(addresses, w.checker, seed, w.dial)
 	w.t.Cleanup(c.Close)
 	return c
 }
 
-func (w *world) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (w *cluster) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	return w.fabric.Dial(ctx, "callers", address)
 }
 
 // awaitReady waits until every front says that it is ready.
-func (w *world) awaitReady() {
+func (w *cluster) awaitReady() {
 	transport := &http.Transport{DialContext: w.dial, DisableKeepAlives: true}
 	client := &http.Client{Transport: transport, Timeout: time.Second}
 	for _, m := range w.fronts {
@@ -298,8 +300,8 @@
 	}
 }
 
-func (w *world) close() {
-	for _, m := range w.members() {
+func (w *cluster) close() {
+	for _, m := range w.vms() {
 		w.kill(m)
 	}
 	w.ended.Wait()
--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -14,47 +14,47 @@
 	"github.com/rookpass/rookpass/platform/platformtest"
 )
 
-// TestEntriesOfOtherWritersNameNoServer: what another writer puts in the place of a server's entry takes that server out of
+// TestForeignEntriesDisableServer: what another writer puts in the place of a server's entry takes that server out of
 // use on every front, as it comes or found in a list after an outage; the others hold, and a good entry is in force again.
-func TestEntriesOfOtherWritersNameNoServer(t *testing.T) {
-	odd := len(platformtest.InvalidEntries(workload.NewServer(0, "a:1", workload.NewChecker()).Entry()))
-	for i := range odd {
+func TestForeignEntriesDisableServer(t *testing.T) {
+	variants := len(platformtest.InvalidEntries(workload.NewServer(0, "a:1", workload.NewChecker()).Entry()))
+	for i := range variants {
 		for _, away := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d/store-away-%t", i, away), func(t *testing.T) {
 				t.Parallel()
-				testbubble.Run(t, func(t *testing.T) { spoilOneEntry(t, i, away) })
+				testbubble.Run(t, func(t *testing.T) { overwriteOneEntry(t, i, away) })
 			})
 		}
 	}
 }
 
-func spoilOneEntry(t *testing.T, odd int, away bool) {
-	w := newWorld(t)
+func overwriteOneEntry(t *testing.T, variant int, away bool) {
+	w := newCluster(t)
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.ask(workload.IdempotentCalls, stop)
+		w.runCallers(workload.IdempotentCalls, stop)
 	}()
 	time.Sleep(time.Second)
 	if away {
 		w.platform.SetFault(func(r http.ResponseWriter) { r.WriteHeader(http.StatusServiceUnavailable) }, false)
 	}
-	spoilt := w.servers[1].Entry()
-	w.platform.Set("servers", spoilt.ID.Server, platformtest.InvalidEntries(spoilt)[odd])
+	overwritten := w.servers[1].Entry()
+	w.platform.Set("servers", overwritten.ID.Server, platformtest.InvalidEntries(overwritten)[variant])
 	if away {
-		time.Sleep(faultTime)
+		time.Sleep(faultDuration)
 		w.platform.SetFault(nil, false)
 	}
-	w.checker.RecordDraining(spoilt.ID.Server)
+	w.checker.RecordDraining(overwritten.ID.Server)
 	time.Sleep(4 * time.Second)
-	w.checker.RecordReturned(spoilt.ID.Server)
-	before := w.checker.Arrivals(spoilt.ID.Server)
-	w.platform.SetServer(spoilt)
+	w.checker.RecordReturned(overwritten.ID.Server)
+	before := w.checker.Arrivals(overwritten.ID.Server)
+	w.platform.SetServer(overwritten)
 	time.Sleep(2 * time.Second)
 	close(stop)
 	<-done
 	assert.Equal(t, len(w.checker.Violations()), 0, "%s\n%v", strings.Join(w.checker.Violations(), "\n"), w.checker.Counts())
-	assert.Assert(t, w.checker.Arrivals(spoilt.ID.Server) > before, "the server's own entry is not in force")
+	assert.Assert(t, w.checker.Arrivals(overwritten.ID.Server) > before, "the server's own entry is not in force")
 	assert.Assert(t, w.checker.Counts()["call whole"] > 0, "%v", w.checker.Counts())
 }
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -8,16 +8,18 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// evacuations implements watch.Handler: it keeps servers of evacuated data centres from requests.
-type evacuations struct{ servers *catalog.ServersHandler }
+// evacuationHandler implements watch.Handler: it keeps servers of evacuated data centres from requests.
+type evacuationHandler struct{ servers *catalog.ServersHandler }
 
-func newEvacuations(servers *catalog.ServersHandler) *evacuations { return &evacuations{servers} }
+func newEvacuationHandler(servers *catalog.ServersHandler) *evacuationHandler {
+	return &evacuationHandler{servers}
+}
 
 // Prefix implements watch.Handler.
-func (e *evacuations) Prefix() string { return platform.EvacuationsPrefix }
+func (e *evacuationHandler) Prefix() string { return platform.EvacuationsPrefix }
 
 // Reset implements watch.Handler.
-func (e *evacuations) Reset(objects []objectapi.Object, _ uint64) {
+func (e *evacuationHandler) Reset(objects []objectapi.Object, _ uint64) {
 	listed := map[string]bool{}
 	for _, object := range objects {
 		dataCentre := platform.EvacuatedDataCentre(object.Key)
@@ -32,12 +34,12 @@
 }
 
 // Change implements watch.Handler.
-func (e *evacuations) Change(event objectapi.Event) {
+func (e *evacuationHandler) Change(event objectapi.Event) {
 	e.servers.SetEvacuated(platform.EvacuatedDataCentre(event.Key), !event.Deleted)
 }
 
 // Confirm implements watch.Handler.
-func (e *evacuations) Confirm(uint64, time.Time) {}
+func (e *evacuationHandler) Confirm(uint64, time.Time) {}
 
 // SourceUnavailable implements watch.Handler. What is known stays in force.
-func (e *evacuations) SourceUnavailable() {}
+func (e *evacuationHandler) SourceUnavailable() {}
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -11,37 +11,37 @@
 	"github.com/rookpass/rookpass/internal/testing/workload"
 )
 
-// evacuated is the data centre that the test empties.
-const evacuated = "dc1"
+// evacuatedDataCentre is the data centre that the test empties.
+const evacuatedDataCentre = "dc1"
 
-// TestEvacuatedDataCentreGetsNothingMore: whoever starts or is cut off meanwhile; and all is as before once the evacuation is
+// TestEvacuatedDataCentreGetsNoRequests: whoever starts or is cut off meanwhile; and all is as before once the evacuation is
 // taken back.
-func TestEvacuatedDataCentreGetsNothingMore(t *testing.T) {
-	for name, meanwhile := range map[string]func(w *world){
-		"calm":                  func(*world) { time.Sleep(darkTime) },
-		"fronts-start":          func(w *world) { w.restartAll(w.fronts) },
-		"store-daemons-start":   func(w *world) { w.restartAll(w.stores) },
-		"history-forgotten":     func(w *world) { w.platform.Compact(); time.Sleep(darkTime) },
-		"store-away-afterwards": func(w *world) { time.Sleep(time.Second); w.dark(outages["resets"]) },
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
+	for name, meanwhile := range map[string]func(w *cluster){
+		"calm":                  func(*cluster) { time.Sleep(outageDuration) },
+		"fronts-start":          func(w *cluster) { w.restartAll(w.fronts) },
+		"store-daemons-start":   func(w *cluster) { w.restartAll(w.stores) },
+		"history-forgotten":     func(w *cluster) { w.platform.Compact(); time.Sleep(outageDuration) },
+		"store-away-afterwards": func(w *cluster) { time.Sleep(time.Second); w.storeOutage(outages["resets"]) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			testbubble.Run(t, func(t *testing.T) { evacuate(t, meanwhile) })
+			testbubble.Run(t, func(t *testing.T) { runEvacuation(t, meanwhile) })
 		})
 	}
 }
 
-func evacuate(t *testing.T, meanwhile func(w *world)) {
-	w := newWorldWith(t, worldFronts, worldStores, &world{evacuation: 5 * time.Second})
+func runEvacuation(t *testing.T, meanwhile func(w *cluster)) {
+	w := newClusterWith(t, defaultFronts, defaultStores, &cluster{maxEvacuationDelay: 5 * time.Second})
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.ask(workload.IdempotentCalls, stop)
+		w.runCallers(workload.IdempotentCalls, stop)
 	}()
 	time.Sleep(time.Second)
-	w.platform.Set("evacuations", evacuated, map[string]any{})
-	inside := w.serversIn(evacuated)
+	w.platform.Set("evacuations", evacuatedDataCentre, map[string]any{})
+	inside := w.serversIn(evacuatedDataCentre)
 	assert.Assert(t, len(inside) > 0)
 	for _, id := range inside {
 		w.checker.RecordDraining(id)
@@ -53,7 +53,7 @@
 		w.checker.RecordReturned(id)
 		before[id] = w.checker.Arrivals(id)
 	}
-	w.platform.Delete("evacuations", evacuated)
+	w.platform.Delete("evacuations", evacuatedDataCentre)
 	time.Sleep(3 * time.Second)
 	close(stop)
 	<-done
@@ -66,7 +66,7 @@
 }
 
 // serversIn returns the names of the servers in a data centre.
-func (w *world) serversIn(dataCentre string) []string {
+func (w *cluster) serversIn(dataCentre string) []string {
 	var names []string
 	for _, s := range w.servers {
 		if entry := s.Entry(); entry.DataCentre == dataCentre {
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -35,86 +35,86 @@
 )
 
 const (
-	// frontWait is how long a front daemon's watch waits at the platform's store, where no mirror answers: with the
+	// frontWatchWait is how long a front daemon's watch waits at the platform's store, where no mirror answers: with the
 	// client's margin of 0.6 s it bounds how late a silent connection is noticed, and changes must be in force after 2 s.
-	frontWait = time.Second
-	// diskPatience is when a call to a disk is sent over another front daemon as well: many times a usual answer.
-	diskPatience = 120 * time.Millisecond
-	// mirrorPatience is the same for watches, which wait up to a second for a change.
-	mirrorPatience = 1300 * time.Millisecond
-	// exchangeReturn is how long a daemon swaps at another place before it goes back to the first, where all meet.
-	exchangeReturn = 8 * time.Second
-	// quotaKey before an organisation's name picks the store daemons that count its requests.
-	quotaKey = "requests of "
-	// layoutPatience is how long the layout is waited for before the store itself is asked for the rest.
-	layoutPatience = 4 * time.Second
-	layoutPoll     = 10 * time.Millisecond
-	// cacheShare of a VM's memory holds kept turns.
-	cacheShare = 0.05
-	// bodyShare of a VM's memory holds bodies of requests: five of the largest that configurations allow so far, on
+	frontWatchWait = time.Second
+	// diskFallbackDelay is when a call to a disk is sent over another front daemon as well: many times a usual answer.
+	diskFallbackDelay = 120 * time.Millisecond
+	// mirrorFallbackDelay is the same for watches, which wait up to a second for a change.
+	mirrorFallbackDelay = 1300 * time.Millisecond
+	// hubFailbackInterval is how long a daemon swaps at another place before it goes back to the first, where all meet.
+	hubFailbackInterval = 8 * time.Second
+	// quotaGroupKeyPrefix before an organisation's name picks the store daemons that count its requests.
+	quotaGroupKeyPrefix = "requests of "
+	// layoutTimeout is how long the layout is waited for before the store itself is asked for the rest.
+	layoutTimeout      = 4 * time.Second
+	layoutPollInterval = 10 * time.Millisecond
+	// turnCacheShare of a VM's memory holds kept turns.
+	turnCacheShare = 0.05
+	// requestBodyShare of a VM's memory holds bodies of requests: five of the largest that configurations allow so far, on
 	// the smallest VM.
-	bodyShare = 0.2
-	// serverShare of a VM's descriptors may be connections to servers; callers, disks and other daemons need the rest.
-	serverShare = 0.5
+	requestBodyShare = 0.2
+	// serverConnectionShare of a VM's descriptors may be connections to servers; callers, disks and other daemons need the rest.
+	serverConnectionShare = 0.5
 	// headerTimeout bounds a request's headers before the configuration says how long; callers keep within 3 s.
 	headerTimeout = 10 * time.Second
 	// idleTimeout is how long a caller's connection is kept; configurations so far say 15 s and less.
 	idleTimeout = 90 * time.Second
 	// maxHeaderBytes is above every limit that a configuration has set so far.
 	maxHeaderBytes = 64 << 10
-	// sweepPause is the time between two looks for connections and servers that are no longer needed.
-	sweepPause = time.Second
-	// costStep is how far a learnt cost moves before it is logged again: a few lines a minute under changing load.
-	costStep = 1.5
-	// unreadyTime is how long a stopping daemon still takes connections: the platform asks every second, and
+	// sweepInterval is the time between two looks for connections and servers that are no longer needed.
+	sweepInterval = time.Second
+	// costLogFactor is how far a learnt cost moves before it is logged again: a few lines a minute under changing load.
+	costLogFactor = 1.5
+	// unreadyDelay is how long a stopping daemon still takes connections: the platform asks every second, and
 	// two misses take it out.
-	unreadyTime = 2500 * time.Millisecond
-	// stopMargin is what a stopping daemon leaves of its grace.
-	stopMargin = 500 * time.Millisecond
+	unreadyDelay = 2500 * time.Millisecond
+	// shutdownMargin is what a stopping daemon leaves of its grace.
+	shutdownMargin = 500 * time.Millisecond
 )
 
 // front is the front daemon.
 type front struct {
 	*base
-	catalog  *catalog.Catalog
-	balancer *balance.Balancer
-	gate     *dispatch.Scheduler
-	pool     *upstream.Pool
-	ledger   *ledger.Ledger
-	gateway  *gateway.Gateway
-	detour   *tunnel.Dialer
-	stopping atomic.Bool
+	catalog   *catalog.Catalog
+	balancer  *balance.Balancer
+	scheduler *dispatch.Scheduler
+	pool      *upstream.Pool
+	ledger    *ledger.Ledger
+	gateway   *gateway.Gateway
+	relay     *tunnel.Dialer
+	stopping  atomic.Bool
 }
 
 // RunFront runs the front daemon until ctx ends, and then until its requests have.
 func RunFront(ctx context.Context, settings platform.Settings, level string) error {
-	b, err := newBase(thisVM(), settings, level, "front")
+	b, err := newBase(localHost(), settings, level, "front")
 	if err != nil {
 		return err
 	}
 	err = newFront(b).run(ctx)
-	b.stopped("signal", ignoreEnd(err))
-	return ignoreEnd(err)
+	b.logStop("signal", ignoreCanceled(err))
+	return ignoreCanceled(err)
 }
 
 func newFront(b *base) *front {
-	f := &front{base: b, catalog: catalog.New(), balancer: balance.New(b.settings.Node, b.settings.Topology()), gate: dispatch.New()}
-	f.pool = upstream.NewPool(b.host.dial, platform.HeaderCodec{}, int(serverShare*float64(b.settings.MaxDescriptors)))
-	f.pool.OnDial(f.learnWay)
-	f.detour = tunnel.NewDialer(b.host.dial, b.settings.PeerAddress())
-	b.links.WithFallback(f.detour.Dial, diskPatience)
-	f.ledger = ledger.New(b.links, b.settings.Topology(), int(cacheShare*float64(b.settings.MemoryBytes)), b.log)
+	f := &front{base: b, catalog: catalog.New(), balancer: balance.New(b.settings.Node, b.settings.Topology()), scheduler: dispatch.New()}
+	f.pool = upstream.NewPool(b.host.dial, platform.HeaderCodec{}, int(serverConnectionShare*float64(b.settings.MaxDescriptors)))
+	f.pool.OnDial(f.recordConnectTime)
+	f.relay = tunnel.NewDialer(b.host.dial, b.settings.PeerAddress())
+	b.links.WithFallback(f.relay.Dial, diskFallbackDelay)
+	f.ledger = ledger.New(b.links, b.settings.Topology(), int(turnCacheShare*float64(b.settings.MemoryBytes)), b.log)
 	f.gateway = gateway.New(gateway.Options{
 		Catalog: f.catalog, Balancer: f.balancer, Sender: f.pool, Ledger: f.ledger, HeaderCodec: platform.HeaderCodec{},
-		Log: b.log, Stats: gateway.NewStats(b.metrics), Scheduler: f.gate, BodyBytes: int64(bodyShare * float64(b.settings.MemoryBytes)),
-		ConfigAgeLimits: policy.NewConfigAgeLimits(b.settings.MaxRevocationDelay, b.settings.MaxConfigDelay), Quotas: quota.NewClient(b.links, f.homes),
+		Log: b.log, Stats: gateway.NewStats(b.metrics), Scheduler: f.scheduler, BodyBytes: int64(requestBodyShare * float64(b.settings.MemoryBytes)),
+		ConfigAgeLimits: policy.NewConfigAgeLimits(b.settings.MaxRevocationDelay, b.settings.MaxConfigDelay), Quotas: quota.NewClient(b.links, f.quotaCounters),
 	})
 	b.metrics.Gauge("rookpass_connections_opened_total", func() float64 { return float64(f.pool.Opened()) })
 	b.metrics.Gauge("rookpass_connections_reused_total", func() float64 { return float64(f.pool.Reused()) })
 	b.metrics.Gauge("rookpass_detours_total", func() float64 { return float64(b.links.HedgedCalls()) })
 	b.metrics.Gauge("rookpass_requests_active", func() float64 { return float64(f.gateway.ActiveRequests()) })
-	b.metrics.Gauge("rookpass_turns_waiting", func() float64 { return float64(f.gate.Waiting()) })
-	b.metrics.Gauge("rookpass_turns_running", func() float64 { return float64(f.gate.Running()) })
+	b.metrics.Gauge("rookpass_turns_waiting", func() float64 { return float64(f.scheduler.Waiting()) })
+	b.metrics.Gauge("rookpass_turns_running", func() float64 { return float64(f.scheduler.Running()) })
 	b.metrics.Gauge("rookpass_config_certain_age_seconds", func() float64 {
 		_, age := f.catalog.TableWithAge()
 		return age.Seconds()
@@ -137,7 +137,7 @@
 		return err
 	}
 	server := &http.Server{Handler: f.gateway, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
-	ready := &http.Server{Handler: http.HandlerFunc(f.answerReady), ReadHeaderTimeout: headerTimeout}
+	ready := &http.Server{Handler: http.HandlerFunc(f.serveReadiness), ReadHeaderTimeout: headerTimeout}
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	group, work := errgroup.WithContext(work)
@@ -148,11 +148,11 @@
 		_ = peers.Close()
 		return work.Err()
 	})
-	group.Go(func() error { return tunnel.NewServer(f.host.dial, f.holdsSlot, f.log).Serve(peers) })
+	group.Go(func() error { return tunnel.NewServer(f.host.dial, f.isLayoutAddress, f.log).Serve(peers) })
 	group.Go(func() error { return f.servePages(work, f.status) })
-	f.watch(work, group)
-	group.Go(func() error { return f.exchange(work) })
-	group.Go(func() error { return f.followSettings(work) })
+	f.startWatches(work, group)
+	group.Go(func() error { return f.exchangeWithHubs(work) })
+	group.Go(func() error { return f.watchSettings(work) })
 	group.Go(func() error { return f.sweep(work) })
 	group.Go(func() error {
 		select {
@@ -175,17 +175,17 @@
 	return nil
 }
 
-// watch keeps this daemon's view. The configuration and the servers are read through the store daemons as soon
+// startWatches keeps this daemon's view. The configuration and the servers are read through the store daemons as soon
 // as the layout names them.
-func (f *front) watch(ctx context.Context, group *errgroup.Group) {
-	source := feed.New(f.mirrors(), feed.NamedSource{Name: "platform", Source: single{f.store}}, f.log)
+func (f *front) startWatches(ctx context.Context, group *errgroup.Group) {
+	source := feed.New(f.mirrors(), feed.NamedSource{Name: "platform", Source: singlePrefixSource{f.store}}, f.log)
 	link := watch.NewSharedSource(source)
-	run := func(h watch.Handler, limit time.Duration) error { return f.watcher(link, limit, h).Run(ctx) }
+	run := func(h watch.Handler, limit time.Duration) error { return f.newWatcher(link, limit, h).Run(ctx) }
 	group.Go(func() error {
 		if f.settings.FirstStart {
-			_ = wait.For(ctx, formingTime)
+			_ = wait.For(ctx, bootstrapWait)
 		}
-		return run(&handler{prefix: layoutPrefix, apply: f.applyLayout}, frontWait)
+		return run(&handler{prefix: layoutPrefix, apply: f.applyLayout}, frontWatchWait)
 	})
 	servers := catalog.NewServersHandler(catalog.ServersOptions{
 		Catalog: f.catalog, Topology: f.settings.Topology(), Prefix: platform.ServersPrefix,
@@ -193,11 +193,11 @@
 		OnRefused: func(reason catalog.RefusalReason) { f.metrics.Count("rookpass_entries_refused_total", string(reason)) },
 	})
 	handlers := map[watch.Handler]time.Duration{
-		catalog.NewConfigHandler(f.catalog, platform.ConfigPrefix, platform.DecodeConfig, f.log): f.configWait(frontWait, hopShare),
-		servers: frontWait,
+		catalog.NewConfigHandler(f.catalog, platform.ConfigPrefix, platform.DecodeConfig, f.log): f.configWatchWait(frontWatchWait, mirrorWatchShare),
+		servers: frontWatchWait,
 	}
 	if f.settings.MaxEvacuationDelay > 0 {
-		handlers[newEvacuations(servers)] = frontWait
+		handlers[newEvacuationHandler(servers)] = frontWatchWait
 	}
 	for h, limit := range handlers {
 		group.Go(func() error {
@@ -216,9 +216,9 @@
 
 // awaitLayout returns once the layout is known, or after layoutPatience.
 func (f *front) awaitLayout(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, layoutPatience)
+	ctx, cancel := context.WithTimeout(ctx, layoutTimeout)
 	defer cancel()
-	for !f.ledger.Ready() && wait.For(ctx, layoutPoll) == nil {
+	for !f.ledger.Ready() && wait.For(ctx, layoutPollInterval) == nil {
 	}
 }
 
@@ -235,7 +235,7 @@
 // first differs from front to front, so that each serves a share. Before the layout is known, the seeds stand in.
 func (f *front) mirrors() func() []feed.NamedMirror {
 	// Apart from the ledger's: a watch that hangs must not break its calls.
-	links := peerlink.NewSet(f.host.dial).WithFallback(f.detour.Dial, mirrorPatience)
+	links := peerlink.NewSet(f.host.dial).WithFallback(f.relay.Dial, mirrorFallbackDelay)
 	return func() []feed.NamedMirror {
 		source := func(name, address string) feed.NamedMirror {
 			return feed.NamedMirror{Name: name, Mirror: mirror.NewClient(links.LinkTo(address))}
@@ -248,15 +248,15 @@
 			}
 			return sources
 		}
-		for _, disk := range f.preferred(l.Disks()) {
+		for _, disk := range f.byPreference(l.Disks()) {
 			sources = append(sources, source(disk.Node, disk.Address))
 		}
 		return sources
 	}
 }
 
-// answerReady tells the platform whether this daemon should get new connections.
-func (f *front) answerReady(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness tells the platform whether this daemon should get new connections.
+func (f *front) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if !f.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -269,82 +269,82 @@
 	return !f.stopping.Load() && f.catalog.Table() != nil && f.catalog.Servers().Len() > 0 && f.ledger.Ready()
 }
 
-// holdsSlot tells whether a store daemon of the layout listens at an address.
-func (f *front) holdsSlot(address string) bool {
+// isLayoutAddress tells whether a store daemon of the layout listens at an address.
+func (f *front) isLayoutAddress(address string) bool {
 	l := f.ledger.Layout()
 	return l != nil && slices.ContainsFunc(l.Slots, func(s layout.Slot) bool {
 		return s.Disk.Address == address || s.Joining != nil && s.Joining.Address == address
 	})
 }
 
-// homes returns the store daemons that count an organisation's requests, and behind them those that may stand in: its
+// quotaCounters returns the store daemons that count an organisation's requests, and behind them those that may stand in: its
 // group, in the order of their ranks, which is the same at every front.
-func (f *front) homes(organisation string) []string {
+func (f *front) quotaCounters(organisation string) []string {
 	l := f.ledger.Layout()
 	if l == nil {
 		return nil
 	}
 	var addresses []string
-	for _, slot := range l.Group(quotaKey + organisation) {
+	for _, slot := range l.Group(quotaGroupKeyPrefix + organisation) {
 		addresses = append(addresses, l.Slots[slot].Disk.Address)
 	}
 	return addresses
 }
 
-// exchange swaps what this daemon has seen for what the others have, at the first hub that answers.
-func (f *front) exchange(ctx context.Context) error {
-	place, moved, here := 0, time.Now(), 0
+// exchangeWithHubs swaps what this daemon has seen for what the others have, at the first hub that answers.
+func (f *front) exchangeWithHubs(ctx context.Context) error {
+	hub, switched, hubDaemons := 0, time.Now(), 0
 	var daemons policy.RecentMax
-	for wait.For(ctx, exchange.ReportIntervalFor(here)) == nil {
+	for wait.For(ctx, exchange.ReportIntervalFor(hubDaemons)) == nil {
 		l := f.ledger.Layout()
 		if l == nil {
 			continue
 		}
-		if time.Since(moved) > exchangeReturn {
-			place = 0
+		if time.Since(switched) > hubFailbackInterval {
+			hub = 0
 		}
 		args := &exchange.Args{From: f.settings.PeerAddress(), Daemons: daemons.Read(), Suspects: f.balancer.Suspects(), Failing: f.balancer.Failing(),
 			Demand: f.demand(), Loads: f.balancer.Loads()}
-		places := exchange.HubCandidates(l.Disks(), f.settings.Topology(), daemons.Read())
-		reply, err := exchange.Swap(ctx, f.links.LinkTo(places[place%len(places)]), args)
+		hubs := exchange.HubCandidates(l.Disks(), f.settings.Topology(), daemons.Read())
+		reply, err := exchange.Swap(ctx, f.links.LinkTo(hubs[hub%len(hubs)]), args)
 		if err != nil {
-			place++
-			moved = time.Now()
+			hub++
+			switched = time.Now()
 			f.balancer.SetPeerReports(nil, nil)
-			f.gate.SetPeerDemand(nil)
-			f.log.WithFields(logrus.Fields{"event": "exchange-failed", "place": place, "error": err}).Info("asking another daemon")
+			f.scheduler.SetPeerDemand(nil)
+			f.log.WithFields(logrus.Fields{"event": "exchange-failed", "place": hub, "error": err}).Info("asking another daemon")
 			continue
 		}
 		daemons.Observe(time.Now(), reply.Daemons)
-		here = reply.Here
+		hubDaemons = reply.Here
 		f.balancer.SetPeerReports(reply.Suspects, reply.Failing)
 		f.balancer.SetPeerCount(reply.Daemons)
 		f.balancer.SetPeerLoads(reply.Loads)
 		f.balancer.SetPeerDemand(reply.Demand)
-		f.gate.SetPeerDemand(reply.Demand)
-		f.detour.SetRelays(reply.Peers)
+		f.scheduler.SetPeerDemand(reply.Demand)
+		f.relay.SetRelays(reply.Peers)
 	}
 	return ctx.Err()
 }
 
-// learnWay notes how long a connection to a server took.
-func (f *front) learnWay(to upstream.Endpoint, took time.Duration) {
+// recordConnectTime notes how long a connection to a server took.
+func (f *front) recordConnectTime(to upstream.Endpoint, elapsed time.Duration) {
 	if server := f.catalog.Servers().Server(to.Server); server != nil {
-		f.balancer.RecordConnectTime(server.DataCentre, took)
+		f.balancer.RecordConnectTime(server.DataCentre, elapsed)
 	}
 }
 
 // demand returns this daemon's calls under way and waiting, by service.
 func (f *front) demand() map[string]int {
 	demand := f.balancer.Calls()
-	maps.Copy(demand, f.gate.Demand()) // those under way among them
+	maps.Copy(demand, f.scheduler.Demand()) // those under way among them
 	return demand
 }
 
 // sweep closes connections that are no longer needed, again and again.
 func (f *front) sweep(ctx context.Context) error {
 	logged := map[string]policy.Costs{}
-	for wait.For(ctx, sweepPause) == nil {
+	for wait.For(ctx, sweepInterval) == nil {
 		servers := f.catalog.Servers()
 		f.pool.CloseIdle(func(e upstream.Endpoint) bool {
 			address, known := servers.Address(e.Server)
@@ -360,7 +360,7 @@
 func (f *front) logCosts(logged map[string]policy.Costs) {
 	for service, costs := range f.balancer.Costs() {
 		last, told := logged[service]
-		if told && !moved(last.PrefillPerToken, costs.PrefillPerToken) && !moved(last.SlowdownPerCall, costs.SlowdownPerCall) {
+		if told && !costChanged(last.PrefillPerToken, costs.PrefillPerToken) && !costChanged(last.SlowdownPerCall, costs.SlowdownPerCall) {
 			continue
 		}
 		logged[service] = costs
@@ -369,20 +369,20 @@
 	}
 }
 
-// moved tells whether a positive value has changed by more than costStep.
-func moved(from, to float64) bool { return to > from*costStep || from > to*costStep }
+// costChanged tells whether a positive value has changed by more than costStep.
+func costChanged(from, to float64) bool { return to > from*costLogFactor || from > to*costLogFactor }
 
 // drain stops taking connections once the platform has noticed, and returns when the requests have ended or
 // the grace is over.
 func (f *front) drain(server *http.Server) {
 	began := time.Now()
-	deadline := began.Add(f.settings.StopGrace - stopMargin)
+	deadline := began.Add(f.settings.StopGrace - shutdownMargin)
 	f.stopping.Store(true)
 	f.gateway.Drain()
 	f.log.WithFields(logrus.Fields{"event": "drain", "active": f.gateway.ActiveRequests()}).Info("stopping")
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	_ = wait.For(ctx, unreadyTime)
+	_ = wait.For(ctx, unreadyDelay)
 	_ = server.Shutdown(ctx) // what still runs at the deadline is cut by the end of the process
 	unwritten := f.ledger.Flush(ctx)
 	f.log.WithFields(logrus.Fields{"event": "drained", "active": f.gateway.ActiveRequests(), "unwritten": unwritten != nil, "ms": time.Since(began).Milliseconds()}).Info("requests ended")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,35 +36,35 @@
 	candidatesPrefix = "rookpass-disks/"
 	// connectTimeout is far above a connection between data centres, and below what a caller waits.
 	connectTimeout = 400 * time.Millisecond
-	// silenceTimeout ends connections on which sent bytes stay unacknowledged: some lost packets are borne.
-	silenceTimeout = 1200 * time.Millisecond
-	// watchPace is the least time between two calls of a watch: a burst of changes, as when all servers start,
+	// unacknowledgedTimeout ends connections on which sent bytes stay unacknowledged: some lost packets are borne.
+	unacknowledgedTimeout = 1200 * time.Millisecond
+	// minWatchInterval is the least time between two calls of a watch: a burst of changes, as when all servers start,
 	// costs few calls. It is a tenth of the time in which a change must be known.
-	watchPace = 200 * time.Millisecond
-	// formingTime is how long the store daemons take to form the first layout; asking earlier costs calls.
-	formingTime = 3300 * time.Millisecond
-	// heapShare of a VM's memory is where the collector begins to work hard.
-	heapShare = 0.6
+	minWatchInterval = 200 * time.Millisecond
+	// bootstrapWait is how long the store daemons take to form the first layout; asking earlier costs calls.
+	bootstrapWait = 3300 * time.Millisecond
+	// memoryLimitShare of a VM's memory is where the collector begins to work hard.
+	memoryLimitShare = 0.6
 	// gcPercent is by how much the heap may grow over what is live before it is collected. What is live is mostly the list of
 	// servers, and daemons make little garbage.
 	gcPercent = 40
 )
 
 // Shares of the time within which a withdrawn key must be refused everywhere, for which watches of the configuration wait:
-// readerShare at the platform's store, hopShare at another daemon. As old as the configuration is when the store goes dark, as
+// storeWatchShare at the platform's store, mirrorWatchShare at another daemon. As old as the configuration is when the store goes dark, as
 // much sooner keys are no longer believed; but each call to the store has a price.
 const (
-	readerShare = 0.1
-	hopShare    = 0.05
+	storeWatchShare  = 0.1
+	mirrorWatchShare = 0.05
 )
 
-// configWait returns how long a watch of the configuration waits for a change: usual, or a share of the time within which
+// configWatchWait returns how long a watch of the configuration waits for a change: usual, or a share of the time within which
 // a withdrawn key must be refused, where that is asked.
-func (b *base) configWait(usual time.Duration, share float64) time.Duration {
+func (b *base) configWatchWait(defaultWait time.Duration, share float64) time.Duration {
 	if b.settings.MaxRevocationDelay == 0 {
-		return usual
+		return defaultWait
 	}
-	return min(usual, time.Duration(share*float64(b.settings.MaxRevocationDelay)))
+	return min(defaultWait, time.Duration(share*float64(b.settings.MaxRevocationDelay)))
 }
 
 // host is the VM that a daemon runs on. Tests put one in memory in its place.
@@ -77,11 +77,11 @@
 	output io.Writer
 }
 
-// thisVM returns the host that the process runs on.
-func thisVM() host {
+// localHost returns the host that the process runs on.
+func localHost() host {
 	return host{
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
-		dial:   network.NewDialer(connectTimeout, silenceTimeout),
+		dial:   network.NewDialer(connectTimeout, unacknowledgedTimeout),
 		load:   platform.LoadSettings,
 		output: os.Stdout,
 	}
@@ -115,7 +115,7 @@
 		store:    platform.NewStore(settings.StoreAddress, host.dial),
 		links:    peerlink.NewSet(host.dial),
 	}
-	b.apply(settings)
+	b.applySettings(settings)
 	b.metrics.Gauge("rookpass_store_calls_total", func() float64 { return float64(b.store.Calls()) })
 	b.metrics.Gauge("rookpass_log_lines_dropped_total", func() float64 { return float64(out.Dropped()) })
 	log.WithFields(logrus.Fields{"event": "start", "role": role, "data_centre": settings.DataCentre, "first_start": settings.FirstStart,
@@ -123,8 +123,8 @@
 	return b, nil
 }
 
-// stopped logs the end of the process and writes the last lines.
-func (b *base) stopped(reason string, err error) {
+// logStop logs the end of the process and writes the last lines.
+func (b *base) logStop(reason string, err error) {
 	fields := logrus.Fields{"event": "stop", "reason": reason}
 	if err != nil {
 		fields["error"] = err
@@ -138,9 +138,9 @@
 	return listener, Error.Wrap(err)
 }
 
-// watcher returns a watch of a handler's prefix that logs its outages and tells the age of what it knows.
-func (b *base) watcher(link *watch.SharedSource, d time.Duration, h watch.Handler) *watch.Watcher {
-	w := watch.New(link, watchPace, h).WithPollTimeout(d).WithLog(b.log)
+// newWatcher returns a watch of a handler's prefix that logs its outages and tells the age of what it knows.
+func (b *base) newWatcher(link *watch.SharedSource, d time.Duration, h watch.Handler) *watch.Watcher {
+	w := watch.New(link, minWatchInterval, h).WithPollTimeout(d).WithLog(b.log)
 	gauge := fmt.Sprintf("rookpass_watch_age_seconds{prefix=%q}", h.Prefix())
 	b.metrics.Gauge(gauge, func() float64 { return w.Age().Seconds() })
 	return w
@@ -177,8 +177,8 @@
 func (h *handler) Confirm(uint64, time.Time) {}
 func (h *handler) SourceUnavailable()        {}
 
-// ignoreEnd drops the error of a controller that ended because its context did.
-func ignoreEnd(err error) error {
+// ignoreCanceled drops the error of a controller that ended because its context did.
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -28,9 +28,9 @@
 // Evidence: in the log of a day with such outages a front regained its watch 3.2 s after the store's return with
 // pause_ms=2836, 3.0 s after its store daemon had (pause_ms=2166), and a watch of the layout 4.7 s after with call_ms=5007.
 
-// newsBound is within which a change must be in force that is acknowledged right at the store's return: the bound for any
+// updateDeadline is within which a change must be in force that is acknowledged right at the store's return: the bound for any
 // change. It counts from the return, though less is asked of a daemon that has just regained the store.
-const newsBound = 2 * time.Second
+const updateDeadline = 2 * time.Second
 
 // outages are the ways in which the store is away.
 var outages = map[string]func(http.ResponseWriter){
@@ -42,24 +42,24 @@
 	},
 }
 
-// meanwhile are what strikes daemons during an outage.
-var meanwhile = map[string]func(w *world){
-	"nothing":                func(*world) {},
-	"fronts killed":          func(w *world) { w.restartAll(w.fronts[:2]) },
-	"store daemon killed":    func(w *world) { w.restartAll(w.stores[:1]) },
-	"all daemons killed":     func(w *world) { w.restartAll(w.members()) },
-	"fronts cut off briefly": func(w *world) { w.cut(w.fronts[0], hosts(w.stores), time.Second) },
+// outageDisruptions are what strikes daemons during an outage.
+var outageDisruptions = map[string]func(w *cluster){
+	"nothing":                func(*cluster) {},
+	"fronts killed":          func(w *cluster) { w.restartAll(w.fronts[:2]) },
+	"store daemon killed":    func(w *cluster) { w.restartAll(w.stores[:1]) },
+	"all daemons killed":     func(w *cluster) { w.restartAll(w.vms()) },
+	"fronts cut off briefly": func(w *cluster) { w.cut(w.fronts[0], hostNames(w.stores), time.Second) },
 }
 
-func TestNewsComesSoonAfterAnOutage(t *testing.T) {
+func TestUpdatesArriveInTimeAfterOutage(t *testing.T) {
 	for how, fault := range outages {
-		for struck, strike := range meanwhile {
+		for disruption, disrupt := range outageDisruptions {
 			for _, length := range []time.Duration{4 * time.Second, 8 * time.Second} {
-				t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%s/%v", how, struck, length), " ", "-"), func(t *testing.T) {
+				t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%s/%v", how, disruption, length), " ", "-"), func(t *testing.T) {
 					t.Parallel()
-					amidLookups(t, func(w *world) {
-						w.outage(fault, strike, length)
-						w.checkNews()
+					runWithLookups(t, func(w *cluster) {
+						w.outage(fault, disrupt, length)
+						w.checkUpdates()
 					})
 				})
 			}
@@ -67,14 +67,14 @@
 	}
 }
 
-// amidLookups plays a course of events while callers look things up, and asks that no promise is broken.
-func amidLookups(t *testing.T, play func(w *world)) {
+// runWithLookups plays a course of events while callers look things up, and asks that no promise is broken.
+func runWithLookups(t *testing.T, run func(w *cluster)) {
 	testbubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		stop := make(chan struct{})
 		var work sync.WaitGroup
-		work.Go(func() { w.ask(workload.IdempotentCalls, stop) })
-		play(w)
+		work.Go(func() { w.runCallers(workload.IdempotentCalls, stop) })
+		run(w)
 		close(stop)
 		work.Wait()
 		broken := w.checker.Violations()
@@ -83,39 +83,39 @@
 }
 
 // outage takes the store away for a time, and strikes daemons in the middle of it.
-func (w *world) outage(fault func(http.ResponseWriter), strike func(*world), length time.Duration) {
+func (w *cluster) outage(fault func(http.ResponseWriter), disrupt func(*cluster), length time.Duration) {
 	began := time.Now()
 	w.platform.SetFault(fault, false)
 	time.Sleep(length / 3)
-	strike(w)
+	disrupt(w)
 	time.Sleep(time.Until(began.Add(length)))
 	w.platform.SetFault(nil, false)
 }
 
-// checkNews makes a change of each kind at the store's return, and checks that each is in force in time.
-func (w *world) checkNews() {
+// checkUpdates makes a change of each kind at the store's return, and checks that each is in force in time.
+func (w *cluster) checkUpdates() {
 	returned := time.Now()
-	version := w.configure()
+	version := w.publishConfig()
 	w.platform.SetServer(w.servers[1].Drain()) // the checker watches what still reaches it
 	retiring := w.stores[1]
 	w.platform.Set("retirements", retiring.name, map[string]float64{"duration_s": 8})
-	time.Sleep(time.Until(returned.Add(newsBound)))
+	time.Sleep(time.Until(returned.Add(updateDeadline)))
 	caller := w.caller(99)
 	for _, front := range w.fronts {
-		if !caller.HasConfigVersion(front.callers(), front.host, version) {
-			w.checker.AddViolation("%s does not serve version %d %v after the store's return", front.host, version, newsBound)
+		if !caller.HasConfigVersion(front.callerAddress(), front.host, version) {
+			w.checker.AddViolation("%s does not serve version %d %v after the store's return", front.host, version, updateDeadline)
 		}
 	}
 	if status := w.platform.Status("retirements", retiring.name); status == "" {
-		w.checker.AddViolation("%s has not said that its disk is being emptied %v after the store's return", retiring.host, newsBound)
+		w.checker.AddViolation("%s has not said that its disk is being emptied %v after the store's return", retiring.host, updateDeadline)
 	}
 	time.Sleep(3 * time.Second) // requests to the server that left would come now
 }
 
-// TestFrontStartsWhileTheStoreIsSilent: it serves by the store daemons' copies, and does not wait for the store first.
-func TestFrontStartsWhileTheStoreIsSilent(t *testing.T) {
+// TestFrontStartsWhileStoreIsUnresponsive: it serves by the store daemons' copies, and does not wait for the store first.
+func TestFrontStartsWhileStoreIsUnresponsive(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		w.platform.SetFault(outages["is silent"], false)
 		time.Sleep(4 * time.Second)
 		w.kill(w.fronts[0])
@@ -126,21 +126,21 @@
 	})
 }
 
-// TestLapsedServersStayInUse: the entries of all servers lapse at the end of an outage, since servers can't renew them; those
+// TestExpiredServersStayInUseAfterOutage: the entries of all servers lapse at the end of an outage, since servers can't renew them; those
 // that live are back 1.8 s after the store's return. Nobody may be refused for want of a server, however long the daemons
 // took to notice the outage; a server that is not back gets nothing from then on.
-func TestLapsedServersStayInUse(t *testing.T) {
+func TestExpiredServersStayInUseAfterOutage(t *testing.T) {
 	for how, fault := range outages {
 		for _, begin := range []time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
-			length := shortestLapse + begin // some are short, one is long
+			length := shortestExpiry + begin // some are short, one is long
 			if begin == 0 {
 				length = 8 * time.Second
 			}
 			t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%v", how, length), " ", "-"), func(t *testing.T) {
 				t.Parallel()
-				amidLookups(t, func(w *world) {
+				runWithLookups(t, func(w *cluster) {
 					time.Sleep(begin)
-					w.outage(fault, func(w *world) {
+					w.outage(fault, func(w *cluster) {
 						time.Sleep(length*2/3 - 100*time.Millisecond)
 						for _, s := range w.servers {
 							w.platform.RemoveServer(s.Entry().ID.Server)
@@ -155,12 +155,12 @@
 }
 
 // renewAllButOne brings the entries of all servers but the last back, and watches what that one still gets.
-func (w *world) renewAllButOne() {
+func (w *cluster) renewAllButOne() {
 	returned := time.Now()
 	gone := len(w.servers) - 1
-	time.Sleep(goneAfter - newsBound)
+	time.Sleep(removalTime - updateDeadline)
 	w.checker.RecordDraining(w.servers[gone].Entry().ID.Server) // it is watched from newsBound later on
-	time.Sleep(time.Until(returned.Add(renewal)))
+	time.Sleep(time.Until(returned.Add(renewalTime)))
 	for _, s := range w.servers[:gone] {
 		w.platform.SetServer(s.Entry())
 	}
@@ -168,25 +168,25 @@
 }
 
 const (
-	// shortestLapse is the shortest outage in which entries lapse: three heartbeats of 1.2 s without one, of which the
+	// shortestExpiry is the shortest outage in which entries lapse: three heartbeats of 1.2 s without one, of which the
 	// first may have come just before the outage.
-	shortestLapse = 2400 * time.Millisecond
-	// renewal is how long after the store's return a living server renews its entry at the latest.
-	renewal = 2 * time.Second
-	// goneAfter is from when on a server whose entry is not back may get no requests.
-	goneAfter = 2800 * time.Millisecond
+	shortestExpiry = 2400 * time.Millisecond
+	// renewalTime is how long after the store's return a living server renews its entry at the latest.
+	renewalTime = 2 * time.Second
+	// removalTime is from when on a server whose entry is not back may get no requests.
+	removalTime = 2800 * time.Millisecond
 )
 
-// TestFrontsStartBeforeStoreDaemonsInAnOutage: after a loss of power everywhere fronts find nobody at first, and the store
+// TestFrontsStartBeforeStoreDaemonsDuringOutage: after a loss of power everywhere fronts find nobody at first, and the store
 // stays away. They serve by the store daemons' old copies as soon as those are there.
-func TestFrontsStartBeforeStoreDaemonsInAnOutage(t *testing.T) {
+func TestFrontsStartBeforeStoreDaemonsDuringOutage(t *testing.T) {
 	for how, fault := range outages {
 		t.Run(strings.ReplaceAll(how, " ", "-"), func(t *testing.T) {
 			testbubble.Run(t, func(t *testing.T) {
-				w := newWorld(t)
+				w := newCluster(t)
 				time.Sleep(2 * time.Second) // copies are saved once a second
 				w.platform.SetFault(fault, false)
-				for _, m := range w.members() {
+				for _, m := range w.vms() {
 					w.kill(m)
 				}
 				for _, m := range w.fronts {
@@ -198,7 +198,7 @@
 				}
 				began := time.Now()
 				w.awaitReady()
-				assert.Assert(t, time.Since(began) <= newsBound, "ready after %v", time.Since(began))
+				assert.Assert(t, time.Since(began) <= updateDeadline, "ready after %v", time.Since(began))
 			})
 		})
 	}
--- a/internal/node/readers.go
+++ b/internal/node/readers.go
@@ -17,8 +17,8 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// readersKey picks the slots whose daemons read the platform's objects.
-const readersKey = "readers of the platform's objects"
+// readersGroupKey picks the slots whose daemons read the platform's objects.
+const readersGroupKey = "readers of the platform's objects"
 
 // readers returns a function that lists the daemons through which this one reads the platform's objects, or none where it
 // reads the store itself. There are 2 x tolerance + 1 readers, however many store daemons there are: the calls of
@@ -32,7 +32,7 @@
 			return nil
 		}
 		var disks []layout.Disk
-		for _, slot := range l.Group(readersKey) {
+		for _, slot := range l.Group(readersGroupKey) {
 			disk := l.Slots[slot].Disk
 			if disk.Node == b.settings.Node {
 				return nil
@@ -40,15 +40,15 @@
 			disks = append(disks, disk)
 		}
 		var mirrors []feed.NamedMirror
-		for _, disk := range b.preferred(disks) {
+		for _, disk := range b.byPreference(disks) {
 			mirrors = append(mirrors, feed.NamedMirror{Name: disk.Node, Mirror: mirror.NewClient(links.LinkTo(disk.Address))})
 		}
 		return mirrors
 	}
 }
 
-// preferred sorts disks: the nearest first, else by a hash of this VM's and theirs.
-func (b *base) preferred(disks []layout.Disk) []layout.Disk {
+// byPreference sorts disks: the nearest first, else by a hash of this VM's and theirs.
+func (b *base) byPreference(disks []layout.Disk) []layout.Disk {
 	rank := func(d layout.Disk) uint64 { return xxhash.Sum64String(b.settings.Node + " " + d.Node) }
 	at := b.settings.Topology()
 	slices.SortFunc(disks, func(a, b layout.Disk) int {
@@ -57,13 +57,13 @@
 	return disks
 }
 
-// single adapts the platform's store to one prefix a watch.
-type single struct{ store *platform.Store }
+// singlePrefixSource adapts the platform's store to one prefix a watch.
+type singlePrefixSource struct{ store *platform.Store }
 
-func (s single) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
+func (s singlePrefixSource) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	return s.store.List(ctx, prefix)
 }
 
-func (s single) Wait(ctx context.Context, prefix string, after uint64, d time.Duration) (objectapi.Batch, error) {
+func (s singlePrefixSource) Wait(ctx context.Context, prefix string, after uint64, d time.Duration) (objectapi.Batch, error) {
 	return s.store.Wait(ctx, []string{prefix}, after, d)
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -14,17 +14,17 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// settingsPause is the time between two looks at the settings file, which may change without a signal.
-const settingsPause = 5 * time.Second
+// settingsPollInterval is the time between two looks at the settings file, which may change without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// followSettings reads the settings file again on SIGHUP, and now and then, until ctx ends. Seeds and the memory
+// watchSettings reads the settings file again on SIGHUP, and now and then, until ctx ends. Seeds and the memory
 // limit take effect; addresses, folders and tolerances hold for a process's life. A file that is wrong changes
 // nothing.
-func (b *base) followSettings(ctx context.Context) error {
+func (b *base) watchSettings(ctx context.Context) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	ticker := time.NewTicker(settingsPause)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	read := b.settings
 	for {
@@ -43,16 +43,16 @@
 		}
 		changed := !reflect.DeepEqual(next, read)
 		read = next
-		b.apply(next)
+		b.applySettings(next)
 		if changed || why == "signal" {
 			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "read", "changed": changed}).Info("settings read")
 		}
 	}
 }
 
-// apply puts in force what may change during a process's life.
-func (b *base) apply(s platform.Settings) {
+// applySettings puts in force what may change during a process's life.
+func (b *base) applySettings(s platform.Settings) {
 	b.seeds.Store(&s.Seeds)
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(heapShare * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 }
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -23,35 +23,35 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// storeWait is how long a reader's watch waits for a change. It bounds how late a silent cut from the platform's store is
+// storeWatchWait is how long a reader's watch waits for a change. It bounds how late a silent cut from the platform's store is
 // noticed; each call has a price.
-const storeWait = 1500 * time.Millisecond
+const storeWatchWait = 1500 * time.Millisecond
 
-// followWait is the same for a store daemon that reads through a reader. Those calls have no price, and its copy must not
+// readerWatchWait is the same for a store daemon that reads through a reader. Those calls have no price, and its copy must not
 // get much older than the reader's.
-const followWait = 300 * time.Millisecond
+const readerWatchWait = 300 * time.Millisecond
 
-// rareWait is the same for the layout, which also travels with the disks' answers, and for retirements, which
+// slowWatchWait is the same for the layout, which also travels with the disks' answers, and for retirements, which
 // leave several seconds.
-const rareWait = 5 * time.Second
+const slowWatchWait = 5 * time.Second
 
-// evacuationShare of the time within which nothing more may go to an evacuated data centre is how long a watch of the
+// evacuationWatchShare of the time within which nothing more may go to an evacuated data centre is how long a watch of the
 // evacuations waits, so that a silent cut from the platform's store is noticed well before.
-const evacuationShare = 0.3
+const evacuationWatchShare = 0.3
 
-// answerSlack is how much older than a watch's wait a mirror's copy may be: the pause between two watches, an answer of the
+// mirrorAgeMargin is how much older than a watch's wait a mirror's copy may be: the pause between two watches, an answer of the
 // platform's store when it is slow, some 0.3 s, and where the daemon reads through a reader followWait.
-const answerSlack = 800*time.Millisecond + followWait
+const mirrorAgeMargin = 800*time.Millisecond + readerWatchWait
 
 // RunStore runs the store daemon until ctx ends.
 func RunStore(ctx context.Context, settings platform.Settings, level string) error {
-	b, err := newBase(thisVM(), settings, level, "store")
+	b, err := newBase(localHost(), settings, level, "store")
 	if err != nil {
 		return err
 	}
 	err = b.runStore(ctx)
-	b.stopped("signal", ignoreEnd(err))
-	return ignoreEnd(err)
+	b.logStop("signal", ignoreCanceled(err))
+	return ignoreCanceled(err)
 }
 
 func (b *base) runStore(ctx context.Context) error {
@@ -77,29 +77,29 @@
 		Store: store, API: b.store, Links: b.links, Retirements: retiring, Log: b.log, Topology: s.Topology(), LayoutKey: layoutKey, CandidatesPrefix: candidatesPrefix,
 		FirstStart: s.FirstStart, Tolerance: s.ToleratedDiskFailures, DiskBytes: s.DiskBytes,
 	})
-	configWait := b.configWait(storeWait, readerShare)
+	configWait := b.configWatchWait(storeWatchWait, storeWatchShare)
 	mirrors := []*mirror.Mirror{
-		mirror.New(platform.ConfigPrefix, configWait+answerSlack),
-		mirror.New(platform.ServersPrefix, storeWait+answerSlack),
-		mirror.New(layoutPrefix, rareWait+answerSlack),
-		mirror.New(platform.RetirementsPrefix, rareWait+answerSlack),
+		mirror.New(platform.ConfigPrefix, configWait+mirrorAgeMargin),
+		mirror.New(platform.ServersPrefix, storeWatchWait+mirrorAgeMargin),
+		mirror.New(layoutPrefix, slowWatchWait+mirrorAgeMargin),
+		mirror.New(platform.RetirementsPrefix, slowWatchWait+mirrorAgeMargin),
 	}
 	var evacuations []*mirror.Mirror // none where data centres are never evacuated: each watch has a price
-	evacuationWait := time.Duration(evacuationShare * float64(s.MaxEvacuationDelay))
+	evacuationWait := time.Duration(evacuationWatchShare * float64(s.MaxEvacuationDelay))
 	if s.MaxEvacuationDelay > 0 {
-		evacuations = append(evacuations, mirror.New(platform.EvacuationsPrefix, evacuationWait+answerSlack))
+		evacuations = append(evacuations, mirror.New(platform.EvacuationsPrefix, evacuationWait+mirrorAgeMargin))
 	}
 	layouts := &handler{prefix: layoutPrefix, apply: controller.ObserveLayout}
-	source := feed.New(b.readers(store), feed.NamedSource{Name: "platform", Source: single{b.store}}, b.log).WithMirrorPollTimeout(followWait)
+	source := feed.New(b.readers(store), feed.NamedSource{Name: "platform", Source: singlePrefixSource{b.store}}, b.log).WithMirrorPollTimeout(readerWatchWait)
 	link := watch.NewSharedSource(source)
-	layoutWatcher := b.watcher(link, rareWait, both{mirrors[2], layouts})
+	layoutWatcher := b.newWatcher(link, slowWatchWait, teeHandler{mirrors[2], layouts})
 	watchers := []*watch.Watcher{
-		b.watcher(link, configWait, mirrors[0]),
-		b.watcher(link, storeWait, mirrors[1]),
-		b.watcher(link, rareWait, both{mirrors[3], retiring.handler()}),
+		b.newWatcher(link, configWait, mirrors[0]),
+		b.newWatcher(link, storeWatchWait, mirrors[1]),
+		b.newWatcher(link, slowWatchWait, teeHandler{mirrors[3], retiring.handler()}),
 	}
 	for _, m := range evacuations {
-		watchers = append(watchers, b.watcher(link, evacuationWait, m))
+		watchers = append(watchers, b.newWatcher(link, evacuationWait, m))
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	quotas, hub := quota.NewService(s.Quota), exchange.NewService()
@@ -136,15 +136,15 @@
 	}
 	group.Go(func() error { return controller.Run(ctx) })
 	group.Go(func() error {
-		relayer := &exchange.Relayer{Service: hub, Links: b.links, SelfAddress: s.PeerAddress(), HubsByArea: hubPlaces(store, s.Regions), Log: b.log}
+		relayer := &exchange.Relayer{Service: hub, Links: b.links, SelfAddress: s.PeerAddress(), HubsByArea: hubsByArea(store, s.Regions), Log: b.log}
 		return relayer.Run(ctx)
 	})
-	group.Go(func() error { return b.followSettings(ctx) })
+	group.Go(func() error { return b.watchSettings(ctx) })
 	group.Go(func() error { return layoutWatcher.Run(ctx) })
 	for _, w := range watchers {
 		group.Go(func() error {
 			if s.FirstStart {
-				_ = wait.For(ctx, formingTime) // until then every disk would read the store itself
+				_ = wait.For(ctx, bootstrapWait) // until then every disk would read the store itself
 			}
 			return w.Run(ctx)
 		})
@@ -152,8 +152,8 @@
 	return errors.Join(group.Wait(), store.Close())
 }
 
-// hubPlaces returns a function that lists where all hubs may be.
-func hubPlaces(store *replica.Store, regions map[string]string) func(crowded bool) map[string][]string {
+// hubsByArea returns a function that lists where all hubs may be.
+func hubsByArea(store *replica.Store, regions map[string]string) func(crowded bool) map[string][]string {
 	return func(crowded bool) map[string][]string {
 		l := store.Layout()
 		if l == nil {
@@ -163,27 +163,27 @@
 	}
 }
 
-// both passes a prefix's changes to two handlers.
-type both struct{ first, second watch.Handler }
+// teeHandler passes a prefix's changes to two handlers.
+type teeHandler struct{ first, second watch.Handler }
 
-func (h both) Prefix() string { return h.first.Prefix() }
+func (h teeHandler) Prefix() string { return h.first.Prefix() }
 
-func (h both) Reset(objects []objectapi.Object, version uint64) {
+func (h teeHandler) Reset(objects []objectapi.Object, version uint64) {
 	h.first.Reset(objects, version)
 	h.second.Reset(objects, version)
 }
 
-func (h both) Change(event objectapi.Event) {
+func (h teeHandler) Change(event objectapi.Event) {
 	h.first.Change(event)
 	h.second.Change(event)
 }
 
-func (h both) Confirm(version uint64, at time.Time) {
+func (h teeHandler) Confirm(version uint64, at time.Time) {
 	h.first.Confirm(version, at)
 	h.second.Confirm(version, at)
 }
 
-func (h both) SourceUnavailable() {
+func (h teeHandler) SourceUnavailable() {
 	h.first.SourceUnavailable()
 	h.second.SourceUnavailable()
 }
@@ -214,14 +214,14 @@
 	}
 	return &handler{
 		prefix: platform.RetirementsPrefix,
-		reset:  r.forget,
+		reset:  r.reset,
 		apply:  func(o objectapi.Object) { set(o.Key, true) },
 		remove: func(key string) { set(key, false) },
 	}
 }
 
-// forget drops what was known, before a new list.
-func (r *retirements) forget() {
+// reset drops what was known, before a new list.
+func (r *retirements) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.nodes)
