--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -9,9 +9,8 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// TestPlatformCallsDoNotGrowWithStoreDaemons: three of them read its objects where one may be lost, however many there
-// are. Each call has a price. With every daemon reading them, 4, 8 and 16 made 720, 1,440 and 2,880 calls in two calm
-// minutes; now each makes 624.
+// TestPlatformCallsDoNotGrowWithStoreDaemons guards against store daemons that each read the platform's objects: only
+// the readers may, since every call has a cost.
 func TestPlatformCallsDoNotGrowWithStoreDaemons(t *testing.T) {
 	calls := map[int]int{}
 	for _, stores := range []int{4, 8, 16} {
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) {
 	testbubble.Prepare()
-	// The first use of signals starts a goroutine for the whole process, which must not be in a bubble.
+	// The first use of signals starts a goroutine of the process, which must be outside of synctest bubbles.
 	alive := make(chan os.Signal, 1)
 	signal.Notify(alive, syscall.SIGHUP)
 	signal.Stop(alive)
@@ -43,8 +43,8 @@
 	storeAddress  = storeHost + ":1"
 )
 
-// cluster is a whole system in virtual time: daemons as they are in production, between stand-ins, on a network
-// in memory.
+// cluster is a whole system in virtual time: the daemons as in production, with stand-ins for the platform, servers and
+// callers, on a network in memory.
 type cluster struct {
 	t        *testing.T
 	fabric   *memnet.Fabric
@@ -57,24 +57,25 @@
 	seeds    []string
 	ended    sync.WaitGroup
 
-	// maxRevocationDelay is within which a withdrawn key must be refused everywhere; 0 where that is not asked.
+	// maxRevocationDelay is the time within which a revoked key must be refused everywhere; 0 for no limit.
 	maxRevocationDelay time.Duration
-	// maxEvacuationDelay is within which nothing more may go to an evacuated data centre; 0 where none ever is.
+	// maxEvacuationDelay is the time within which requests to an evacuated data centre must end; 0 if there are no
+	// evacuations.
 	maxEvacuationDelay time.Duration
-	// output takes the daemons' log lines; nil for nobody.
+	// output receives the daemons' log; nil for the default.
 	output io.Writer
 
 	mu      sync.Mutex
 	version int64
-	// organisations are those of the configuration.
+	// organisations are those of the current configuration.
 	organisations []platformtest.Organisation
 }
 
-// vm is a VM and the daemon's present life on it.
+// vm is a VM and the daemon that runs on it.
 type vm struct {
 	name, ip, role, dataCentre string
 	starts, diskGeneration     int
-	// host is the name of the present life on the network.
+	// host is the name of the running daemon on the network; each start gets another one.
 	host string
 	stop context.CancelFunc
 	done chan struct{}
@@ -84,22 +85,22 @@
 
 func newCluster(t *testing.T) *cluster { return newClusterOf(t, defaultFronts, defaultStores) }
 
-// newClusterOf returns a world with so many VMs of each kind, spread over three data centres.
+// newClusterOf returns a cluster with the given numbers of VMs, spread over three data centres.
 func newClusterOf(t *testing.T, fronts, stores int) *cluster {
 	return newRevocationCluster(t, fronts, stores, 0)
 }
 
-// newLoggedCluster returns one whose daemons' log lines are kept.
+// newLoggedCluster returns a cluster that writes the daemons' log to lines.
 func newLoggedCluster(t *testing.T, lines io.Writer) *cluster {
 	return newClusterWith(t, defaultFronts, defaultStores, &cluster{output: lines})
 }
 
-// newRevocationCluster returns one in which a withdrawn key must be refused everywhere after a time.
+// newRevocationCluster returns a cluster in which a revoked key must be refused within maxRevocationDelay.
 func newRevocationCluster(t *testing.T, fronts, stores int, maxRevocationDelay time.Duration) *cluster {
 	return newClusterWith(t, fronts, stores, &cluster{maxRevocationDelay: maxRevocationDelay})
 }
 
-// newClusterWith fills in a world of which some choices are made.
+// newClusterWith completes a cluster in which some fields are set, and starts it.
 func newClusterWith(t *testing.T, fronts, stores int, w *cluster) *cluster {
 	w.t, w.fabric, w.platform, w.checker, w.dir = t, memnet.New(), platformtest.NewStore(), workload.NewChecker(), t.TempDir()
 	w.organisations = workload.Organisations()
@@ -141,7 +142,7 @@
 	w.t.Cleanup(func() { _ = server.Close() })
 }
 
-// publishConfig puts the next version in force and returns it.
+// publishConfig publishes the next version of the configuration and returns it.
 func (w *cluster) publishConfig() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -156,7 +157,7 @@
 	return w.version
 }
 
-// start begins a life of a daemon on what its disk holds.
+// start starts a daemon on its VM's disk. first tells that the system starts for the first time.
 func (w *cluster) start(m *vm, first bool) {
 	m.starts++
 	m.host = fmt.Sprintf("%s/%d", m.name, m.starts)
@@ -196,7 +197,7 @@
 	})
 }
 
-// lockedBuffer keeps what several daemons write.
+// lockedBuffer is a buffer that several daemons may write to.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -214,7 +215,7 @@
 	return b.text.String()
 }
 
-// logOutput takes the daemons' lines where a developer asks for them.
+// logOutput returns where daemons log: output if set, else standard error if ROOKPASS_TEST_LOG is set.
 func (w *cluster) logOutput() io.Writer {
 	if w.output != nil {
 		return w.output
@@ -230,11 +231,11 @@
 	w.fabric.Kill(m.host)
 	m.stop()
 	if m.role == "store" {
-		<-m.done // what it still does to its disk must not meet the next life
+		<-m.done // it must not write to the disk of its next start
 	}
 }
 
-// restart kills a daemon, and starts it again after a time; lost tells that its disk comes back empty.
+// restart kills a daemon and starts it again after a time; lost tells that its disk comes back empty.
 func (w *cluster) restart(m *vm, after time.Duration, lost bool) {
 	w.kill(m)
 	time.Sleep(after)
@@ -244,7 +245,7 @@
 	w.start(m, false)
 }
 
-// cut separates a daemon from some hosts for a time.
+// cut disconnects a daemon from some hosts for a time.
 func (w *cluster) cut(m *vm, hosts []string, d time.Duration) {
 	for _, h := range hosts {
 		w.fabric.Partition(m.host, h)
@@ -263,7 +264,7 @@
 	return names
 }
 
-// caller returns a caller of all fronts.
+// caller returns a caller that knows all fronts.
 func (w *cluster) caller(seed uint64) *workload.Caller {
 	var addresses []string
 	for _, m := range w.fronts {
@@ -278,7 +279,7 @@
 	return w.fabric.Dial(ctx, "callers", address)
 }
 
-// awaitReady waits until every front says that it is ready.
+// awaitReady waits until every front reports that it is ready.
 func (w *cluster) awaitReady() {
 	transport := &http.Transport{DialContext: w.dial, DisableKeepAlives: true}
 	client := &http.Client{Transport: transport, Timeout: time.Second}
@@ -293,7 +294,7 @@
 		}
 		for tries := 0; !ready(); tries++ {
 			if tries == 400 {
-				w.t.Fatal(m.name + " is not ready after " + strconv.Itoa(tries) + " questions")
+				w.t.Fatal(m.name + " is not ready after " + strconv.Itoa(tries) + " requests")
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/internal/node/entries_test.go
+++ b/internal/node/entries_test.go
@@ -14,8 +14,8 @@
 	"github.com/rookpass/rookpass/platform/platformtest"
 )
 
-// TestForeignEntriesDisableServer: what another writer puts in the place of a server's entry takes that server out of
-// use on every front, as it comes or found in a list after an outage; the others hold, and a good entry is in force again.
+// TestForeignEntriesDisableServer checks that an invalid entry takes only its own server out of use, whether it arrives
+// as a change or in a list after an outage, and that a valid entry puts the server back into use.
 func TestForeignEntriesDisableServer(t *testing.T) {
 	variants := len(platformtest.InvalidEntries(workload.NewServer(0, "a:1", workload.NewChecker()).Entry()))
 	for i := range variants {
@@ -55,6 +55,6 @@
 	close(stop)
 	<-done
 	assert.Equal(t, len(w.checker.Violations()), 0, "%s\n%v", strings.Join(w.checker.Violations(), "\n"), w.checker.Counts())
-	assert.Assert(t, w.checker.Arrivals(overwritten.ID.Server) > before, "the server's own entry is not in force")
+	assert.Assert(t, w.checker.Arrivals(overwritten.ID.Server) > before, "the server gets no requests after its entry was restored")
 	assert.Assert(t, w.checker.Counts()["call whole"] > 0, "%v", w.checker.Counts())
 }
--- a/internal/node/evacuations.go
+++ b/internal/node/evacuations.go
@@ -8,7 +8,7 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// evacuationHandler implements watch.Handler: it keeps servers of evacuated data centres from requests.
+// evacuationHandler implements watch.Handler. It keeps requests away from servers of evacuated data centres.
 type evacuationHandler struct{ servers *catalog.ServersHandler }
 
 func newEvacuationHandler(servers *catalog.ServersHandler) *evacuationHandler {
@@ -41,5 +41,5 @@
 // Confirm implements watch.Handler.
 func (e *evacuationHandler) Confirm(uint64, time.Time) {}
 
-// SourceUnavailable implements watch.Handler. What is known stays in force.
+// SourceUnavailable implements watch.Handler. Known evacuations stay in force.
 func (e *evacuationHandler) SourceUnavailable() {}
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -11,11 +11,10 @@
 	"github.com/rookpass/rookpass/internal/testing/workload"
 )
 
-// evacuatedDataCentre is the data centre that the test empties.
 const evacuatedDataCentre = "dc1"
 
-// TestEvacuatedDataCentreGetsNoRequests: whoever starts or is cut off meanwhile; and all is as before once the evacuation is
-// taken back.
+// TestEvacuatedDataCentreGetsNoRequests checks that daemons which start or lose their connections meanwhile comply as
+// well, and that requests return once the evacuation is withdrawn.
 func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	for name, meanwhile := range map[string]func(w *cluster){
 		"calm":                  func(*cluster) { time.Sleep(outageDuration) },
@@ -62,7 +61,7 @@
 	for _, id := range inside {
 		used += w.checker.Arrivals(id) - before[id]
 	}
-	assert.Assert(t, used > 0, "the data centre is not used again")
+	assert.Assert(t, used > 0, "the data centre gets no requests after the evacuation")
 }
 
 // serversIn returns the names of the servers in a data centre.
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -35,45 +35,46 @@
 )
 
 const (
-	// frontWatchWait is how long a front daemon's watch waits at the platform's store, where no mirror answers: with the
-	// client's margin of 0.6 s it bounds how late a silent connection is noticed, and changes must be in force after 2 s.
+	// frontWatchWait is how long a front daemon's watch waits for a change at the platform's store, when no mirror
+	// answers. It bounds how late an unresponsive connection is noticed.
 	frontWatchWait = time.Second
-	// diskFallbackDelay is when a call to a disk is sent over another front daemon as well: many times a usual answer.
+	// diskFallbackDelay is how long a call to a disk may take before it is also sent through another front daemon.
 	diskFallbackDelay = 120 * time.Millisecond
 	// mirrorFallbackDelay is the same for watches, which wait up to a second for a change.
 	mirrorFallbackDelay = 1300 * time.Millisecond
-	// hubFailbackInterval is how long a daemon swaps at another place before it goes back to the first, where all meet.
+	// hubFailbackInterval is how long a daemon uses another hub before it returns to the first, which all daemons
+	// share.
 	hubFailbackInterval = 8 * time.Second
-	// quotaGroupKeyPrefix before an organisation's name picks the store daemons that count its requests.
+	// quotaGroupKeyPrefix and an organisation's name select the store daemons that count its requests.
 	quotaGroupKeyPrefix = "requests of "
-	// layoutTimeout is how long the layout is waited for before the store itself is asked for the rest.
+	// layoutTimeout is how long the daemon waits for the layout before it reads everything else from the platform's
+	// store.
 	layoutTimeout      = 4 * time.Second
 	layoutPollInterval = 10 * time.Millisecond
-	// turnCacheShare of a VM's memory holds kept turns.
+	// turnCacheShare is the share of a VM's memory for cached turns.
 	turnCacheShare = 0.05
-	// requestBodyShare of a VM's memory holds bodies of requests: five of the largest that configurations allow so far, on
-	// the smallest VM.
+	// requestBodyShare is the share of a VM's memory for the bodies of requests.
 	requestBodyShare = 0.2
-	// serverConnectionShare of a VM's descriptors may be connections to servers; callers, disks and other daemons need the rest.
+	// serverConnectionShare is the share of a VM's descriptors for connections to servers; callers, disks and other
+	// daemons need the rest.
 	serverConnectionShare = 0.5
-	// headerTimeout bounds a request's headers before the configuration says how long; callers keep within 3 s.
+	// headerTimeout bounds reading a request's headers before the configuration sets its own bound.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a caller's connection is kept; configurations so far say 15 s and less.
+	// idleTimeout is how long an idle connection of a caller is kept. Configurations set less.
 	idleTimeout = 90 * time.Second
-	// maxHeaderBytes is above every limit that a configuration has set so far.
+	// maxHeaderBytes bounds a request's headers. Configurations set less.
 	maxHeaderBytes = 64 << 10
-	// sweepInterval is the time between two looks for connections and servers that are no longer needed.
+	// sweepInterval is the time between two removals of unused connections and servers.
 	sweepInterval = time.Second
-	// costLogFactor is how far a learnt cost moves before it is logged again: a few lines a minute under changing load.
+	// costLogFactor is the factor by which an estimated cost must change to be logged again.
 	costLogFactor = 1.5
-	// unreadyDelay is how long a stopping daemon still takes connections: the platform asks every second, and
-	// two misses take it out.
+	// unreadyDelay is how long a stopping daemon still accepts connections: until the platform has noticed that it is
+	// not ready.
 	unreadyDelay = 2500 * time.Millisecond
-	// shutdownMargin is what a stopping daemon leaves of its grace.
+	// shutdownMargin is the part of the stop grace that a stopping daemon leaves unused.
 	shutdownMargin = 500 * time.Millisecond
 )
 
-// front is the front daemon.
 type front struct {
 	*base
 	catalog   *catalog.Catalog
@@ -86,7 +87,7 @@
 	stopping  atomic.Bool
 }
 
-// RunFront runs the front daemon until ctx ends, and then until its requests have.
+// RunFront runs the front daemon until ctx ends, and then until its requests have ended.
 func RunFront(ctx context.Context, settings platform.Settings, level string) error {
 	b, err := newBase(localHost(), settings, level, "front")
 	if err != nil {
@@ -175,8 +176,8 @@
 	return nil
 }
 
-// startWatches keeps this daemon's view. The configuration and the servers are read through the store daemons as soon
-// as the layout names them.
+// startWatches starts the watches of the layout, the configuration, the servers and the evacuations. All but the layout
+// are read through the store daemons as soon as the layout is known.
 func (f *front) startWatches(ctx context.Context, group *errgroup.Group) {
 	source := feed.New(f.mirrors(), feed.NamedSource{Name: "platform", Source: singlePrefixSource{f.store}}, f.log)
 	link := watch.NewSharedSource(source)
@@ -207,14 +208,14 @@
 	}
 }
 
-// serverStarted ends what is under way at earlier starts of a server: those will never answer.
+// serverStarted ends the calls to earlier starts of a server, which will never answer.
 func (f *front) serverStarted(id incarnation.ID) {
 	if calls := f.balancer.ServerStarted(id); calls > 0 {
-		f.log.WithFields(logrus.Fields{"event": "server-restarted", "server": id, "calls": calls}).Warn("server started again; calls at its earlier start ended")
+		f.log.WithFields(logrus.Fields{"event": "server-restarted", "server": id, "calls": calls}).Warn("server restarted; calls to its previous start ended")
 	}
 }
 
-// awaitLayout returns once the layout is known, or after layoutPatience.
+// awaitLayout returns once the layout is known, or after layoutTimeout.
 func (f *front) awaitLayout(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, layoutTimeout)
 	defer cancel()
@@ -225,16 +226,16 @@
 func (f *front) applyLayout(object objectapi.Object) {
 	l, err := layout.Decode(object.Value)
 	if err != nil {
-		f.log.WithFields(logrus.Fields{"event": "layout-malformed", "error": err}).Error("layout not read")
+		f.log.WithFields(logrus.Fields{"event": "layout-malformed", "error": err}).Error("layout object is malformed")
 		return
 	}
 	f.ledger.UpdateLayout(l)
 }
 
-// mirrors returns a function that lists the store daemons, those of this data centre first; which of them comes
-// first differs from front to front, so that each serves a share. Before the layout is known, the seeds stand in.
+// mirrors returns a function that lists the store daemons in the order of preference of this front, or the seeds while
+// the layout is not known. The order differs between fronts, so that each store daemon serves a share of them.
 func (f *front) mirrors() func() []feed.NamedMirror {
-	// Apart from the ledger's: a watch that hangs must not break its calls.
+	// Separate from the ledger's links: a watch that hangs must not break its calls.
 	links := peerlink.NewSet(f.host.dial).WithFallback(f.relay.Dial, mirrorFallbackDelay)
 	return func() []feed.NamedMirror {
 		source := func(name, address string) feed.NamedMirror {
@@ -264,12 +265,12 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// ready tells whether requests can be served and the daemon is not stopping.
+// ready reports whether requests can be served and the daemon is not stopping.
 func (f *front) ready() bool {
 	return !f.stopping.Load() && f.catalog.Table() != nil && f.catalog.Servers().Len() > 0 && f.ledger.Ready()
 }
 
-// isLayoutAddress tells whether a store daemon of the layout listens at an address.
+// isLayoutAddress reports whether a store daemon of the layout listens at an address.
 func (f *front) isLayoutAddress(address string) bool {
 	l := f.ledger.Layout()
 	return l != nil && slices.ContainsFunc(l.Slots, func(s layout.Slot) bool {
@@ -277,8 +278,8 @@
 	})
 }
 
-// quotaCounters returns the store daemons that count an organisation's requests, and behind them those that may stand in: its
-// group, in the order of their ranks, which is the same at every front.
+// quotaCounters returns the addresses of the store daemons that count an organisation's requests, followed by those
+// that may replace them. The order is the same at every front.
 func (f *front) quotaCounters(organisation string) []string {
 	l := f.ledger.Layout()
 	if l == nil {
@@ -291,7 +292,8 @@
 	return addresses
 }
 
-// exchangeWithHubs swaps what this daemon has seen for what the others have, at the first hub that answers.
+// exchangeWithHubs exchanges this daemon's observations for those of the other front daemons, at the first hub that
+// answers.
 func (f *front) exchangeWithHubs(ctx context.Context) error {
 	hub, switched, hubDaemons := 0, time.Now(), 0
 	var daemons policy.RecentMax
@@ -312,7 +314,7 @@
 			switched = time.Now()
 			f.balancer.SetPeerReports(nil, nil)
 			f.scheduler.SetPeerDemand(nil)
-			f.log.WithFields(logrus.Fields{"event": "exchange-failed", "place": hub, "error": err}).Info("asking another daemon")
+			f.log.WithFields(logrus.Fields{"event": "exchange-failed", "place": hub, "error": err}).Info("exchange failed; trying another hub")
 			continue
 		}
 		daemons.Observe(time.Now(), reply.Daemons)
@@ -327,21 +329,21 @@
 	return ctx.Err()
 }
 
-// recordConnectTime notes how long a connection to a server took.
+// recordConnectTime records how long a connection to a server took.
 func (f *front) recordConnectTime(to upstream.Endpoint, elapsed time.Duration) {
 	if server := f.catalog.Servers().Server(to.Server); server != nil {
 		f.balancer.RecordConnectTime(server.DataCentre, elapsed)
 	}
 }
 
-// demand returns this daemon's calls under way and waiting, by service.
+// demand returns this daemon's running and waiting calls, by service.
 func (f *front) demand() map[string]int {
 	demand := f.balancer.Calls()
-	maps.Copy(demand, f.scheduler.Demand()) // those under way among them
+	maps.Copy(demand, f.scheduler.Demand()) // includes running calls
 	return demand
 }
 
-// sweep closes connections that are no longer needed, again and again.
+// sweep closes idle connections to servers that are gone, and forgets those servers, until ctx ends.
 func (f *front) sweep(ctx context.Context) error {
 	logged := map[string]policy.Costs{}
 	for wait.For(ctx, sweepInterval) == nil {
@@ -356,7 +358,7 @@
 	return ctx.Err()
 }
 
-// logCosts tells of learnt costs that have moved by more than costStep since they were last told of.
+// logCosts logs estimated costs that have changed by more than costLogFactor since they were last logged.
 func (f *front) logCosts(logged map[string]policy.Costs) {
 	for service, costs := range f.balancer.Costs() {
 		last, told := logged[service]
@@ -365,15 +367,15 @@
 		}
 		logged[service] = costs
 		f.log.WithFields(logrus.Fields{"event": "costs", "service": service, "prefill_us_per_token": 1e6 * costs.PrefillPerToken,
-			"slowdown_ms_per_call": 1e3 * costs.SlowdownPerCall}).Info("costs learnt")
+			"slowdown_ms_per_call": 1e3 * costs.SlowdownPerCall}).Info("estimated costs changed")
 	}
 }
 
-// costChanged tells whether a positive value has changed by more than costStep.
+// costChanged reports whether a positive value has changed by more than costLogFactor.
 func costChanged(from, to float64) bool { return to > from*costLogFactor || from > to*costLogFactor }
 
-// drain stops taking connections once the platform has noticed, and returns when the requests have ended or
-// the grace is over.
+// drain stops accepting connections once the platform has noticed that the daemon is not ready, and returns when the
+// requests have ended or the stop grace is nearly over.
 func (f *front) drain(server *http.Server) {
 	began := time.Now()
 	deadline := began.Add(f.settings.StopGrace - shutdownMargin)
@@ -383,7 +385,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	_ = wait.For(ctx, unreadyDelay)
-	_ = server.Shutdown(ctx) // what still runs at the deadline is cut by the end of the process
+	_ = server.Shutdown(ctx) // requests that still run at the deadline end with the process
 	unwritten := f.ledger.Flush(ctx)
 	f.log.WithFields(logrus.Fields{"event": "drained", "active": f.gateway.ActiveRequests(), "unwritten": unwritten != nil, "ms": time.Since(began).Milliseconds()}).Info("requests ended")
 }
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -16,21 +16,23 @@
 )
 
 const (
-	// faultDuration is how long a fault lasts, workTime how long work goes on around it.
+	// faultDuration is how long a fault lasts, workDuration how long callers work around it.
 	faultDuration = 2500 * time.Millisecond
 	workDuration  = 8 * time.Second
-	// changeInterval is the time between two changes of operators or servers.
+	// changeInterval is the time between two changes by operators or servers.
 	changeInterval = 700 * time.Millisecond
-	// configDeadline is how soon a configuration must be served by fronts that nothing struck, or after the last fault.
+	// configDeadline is the time within which fronts must serve a configuration: unaffected ones after it is published,
+	// others after the last fault.
 	configDeadline = 3 * time.Second
 )
 
 // fault is one kind of fault of the matrix.
 type fault struct {
 	name string
-	// inject does it and undoes it.
+	// inject causes the fault and ends it.
 	inject func(w *cluster)
-	// affectedFront is the affectedFront that it strikes, or -1; news tells that word of the platform may come late everywhere.
+	// affectedFront is the index of the front that the fault affects, or -1. delaysUpdates tells that updates from the
+	// platform may be late at every daemon.
 	affectedFront int
 	delaysUpdates bool
 }
@@ -112,10 +114,10 @@
 	}
 }
 
-// restartNoticeDelay is how long after a server's new start its entry says so: its first write.
+// restartNoticeDelay is the time from a server's restart until its entry shows it.
 const restartNoticeDelay = 300 * time.Millisecond
 
-// restartServers crashes one server of each service silently, and starts it again under its name.
+// restartServers restarts one server of each service under its old name, without notice.
 func (w *cluster) restartServers() {
 	for _, s := range w.servers[:2] {
 		s.Restart()
@@ -127,8 +129,7 @@
 	time.Sleep(faultDuration - restartNoticeDelay)
 }
 
-// overwriteEntries writes over the entries of one server of each service what no server writes, and then lets the servers
-// write theirs again.
+// overwriteEntries replaces the entries of one server of each service by invalid ones, and later restores them.
 func (w *cluster) overwriteEntries() {
 	var overwritten []string
 	for i, s := range w.servers[:2] {
@@ -137,7 +138,7 @@
 		w.checker.RecordDraining(entry.ID.Server)
 		overwritten = append(overwritten, entry.ID.Server)
 	}
-	time.Sleep(faultDuration + time.Second) // a second longer than requests may still reach them
+	time.Sleep(faultDuration + time.Second) // a second longer than requests may still arrive
 	for i, s := range w.servers[:2] {
 		entry := s.Entry()
 		if entry.ID.Server == overwritten[i] && !entry.Draining {
@@ -147,7 +148,7 @@
 	}
 }
 
-// restartAll kills daemons together, and starts them again.
+// restartAll kills daemons together and starts them again.
 func (w *cluster) restartAll(members []*vm) {
 	for _, m := range members {
 		w.kill(m)
@@ -158,18 +159,18 @@
 	}
 }
 
-// faultTimes are when blows fall after work has begun.
+// faultTimes are the times of the faults after the start of the work.
 var faultTimes = map[string][]time.Duration{
 	"at first":     {0},
 	"amid work":    {1300 * time.Millisecond},
 	"twice in row": {400 * time.Millisecond, 4200 * time.Millisecond},
 }
 
-// workloadCase is what is asked for while blows fall.
+// workloadCase is the work that callers request while faults occur.
 type workloadCase struct {
 	name string
 	work func(w *cluster, b fault, stop <-chan struct{})
-	// wantOutcome is the outcome that must have been seen.
+	// wantOutcome is an outcome that must occur at least once; empty for none.
 	wantOutcome string
 }
 
@@ -189,7 +190,7 @@
 	}
 }
 
-// runCallers lets callers runCallers for work until stop is closed, and asks that they are served afterwards.
+// runCallers runs callers until stop is closed, and then checks that they are served.
 func (w *cluster) runCallers(work workload.Work, stop <-chan struct{}) {
 	var wg sync.WaitGroup
 	for i := range uint64(3) {
@@ -203,8 +204,8 @@
 	wg.Wait()
 }
 
-// changeConfigurations brings version after version, and asks that no front goes back and that those which nothing
-// struck have each in force soon.
+// changeConfigurations publishes one version after the other. It checks that no front goes back to an earlier version,
+// and that unaffected fronts serve each within configDeadline.
 func (w *cluster) changeConfigurations(f fault, stop <-chan struct{}) {
 	c := w.caller(1)
 	var wg sync.WaitGroup
@@ -235,7 +236,7 @@
 	}
 }
 
-// replaceServers lets one server after the other leave and come back as another, while callers ask for calls.
+// replaceServers drains one server after the other and brings it back under another name, while callers send calls.
 func (w *cluster) replaceServers(f fault, stop <-chan struct{}) {
 	if f.delaysUpdates {
 		w.checker.AllowLateArrivals(time.Now().Add(time.Hour))
@@ -260,7 +261,7 @@
 	}
 }
 
-// TestFaultMatrix asks for every kind of work while every kind of fault strikes, at several moments.
+// TestFaultMatrix runs every kind of work under every kind of fault, at several times.
 func TestFaultMatrix(t *testing.T) {
 	for _, r := range workloadCases() {
 		for _, b := range faults() {
@@ -290,11 +291,11 @@
 	broken := w.checker.Violations()
 	assert.Equal(t, len(broken), 0, "%s\n%v", strings.Join(broken, "\n"), w.checker.Counts())
 	if wc.wantOutcome != "" {
-		assert.Assert(t, w.checker.Counts()[wc.wantOutcome] > 0, "nothing ended as %q: %v", wc.wantOutcome, w.checker.Counts())
+		assert.Assert(t, w.checker.Counts()[wc.wantOutcome] > 0, "no request ended as %q: %v", wc.wantOutcome, w.checker.Counts())
 	}
 }
 
-// TestRetirementIsReported: through the platform's objects, as an operator sees it.
+// TestRetirementIsReported checks that operators see the progress of a retirement in the platform's objects.
 func TestRetirementIsReported(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		w := newCluster(t)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node wires the daemons that run on the users' platform: the front daemon, which takes callers'
-// requests, and the store daemon, which keeps turns on its VM's disk.
+// Package node assembles the daemons that run on the users' platform: the front daemon, which serves callers' requests,
+// and the store daemon, which stores turns on its VM's disk.
 package node
 
 import (
@@ -29,37 +29,37 @@
 var Error = errs.Class("node")
 
 const (
-	// layoutPrefix and layoutKey are where the layout of disks lies in the platform's store.
+	// layoutPrefix and layoutKey locate the layout object in the platform's store.
 	layoutPrefix = "rookpass-layout/"
 	layoutKey    = layoutPrefix + "main"
-	// candidatesPrefix is where the first disks enter themselves there.
+	// candidatesPrefix is the prefix of the objects that register disks for the first layout.
 	candidatesPrefix = "rookpass-disks/"
-	// connectTimeout is far above a connection between data centres, and below what a caller waits.
+	// connectTimeout bounds a connection attempt, between data centres too.
 	connectTimeout = 400 * time.Millisecond
-	// unacknowledgedTimeout ends connections on which sent bytes stay unacknowledged: some lost packets are borne.
+	// unacknowledgedTimeout closes connections on which sent bytes stay unacknowledged; a few lost packets are
+	// tolerated.
 	unacknowledgedTimeout = 1200 * time.Millisecond
-	// minWatchInterval is the least time between two calls of a watch: a burst of changes, as when all servers start,
-	// costs few calls. It is a tenth of the time in which a change must be known.
+	// minWatchInterval is the shortest time between two calls of a watch, so that a burst of changes takes few calls.
 	minWatchInterval = 200 * time.Millisecond
-	// bootstrapWait is how long the store daemons take to form the first layout; asking earlier costs calls.
+	// bootstrapWait is how long daemons wait at the first start for the store daemons to form the layout.
 	bootstrapWait = 3300 * time.Millisecond
-	// memoryLimitShare of a VM's memory is where the collector begins to work hard.
+	// memoryLimitShare is the share of a VM's memory at which the garbage collector works harder.
 	memoryLimitShare = 0.6
-	// gcPercent is by how much the heap may grow over what is live before it is collected. What is live is mostly the list of
-	// servers, and daemons make little garbage.
+	// gcPercent is the heap growth over the live data at which the heap is collected.
 	gcPercent = 40
 )
 
-// Shares of the time within which a withdrawn key must be refused everywhere, for which watches of the configuration wait:
-// storeWatchShare at the platform's store, mirrorWatchShare at another daemon. As old as the configuration is when the store goes dark, as
-// much sooner keys are no longer believed; but each call to the store has a price.
+// storeWatchShare and mirrorWatchShare are the shares of the maximum revocation delay for which watches of the
+// configuration wait at the platform's store and at another daemon. The longer they wait, the older the configuration
+// may be when the store becomes unavailable and the sooner keys can no longer be verified; but each call to the store
+// has a cost.
 const (
 	storeWatchShare  = 0.1
 	mirrorWatchShare = 0.05
 )
 
-// configWatchWait returns how long a watch of the configuration waits for a change: usual, or a share of the time within which
-// a withdrawn key must be refused, where that is asked.
+// configWatchWait returns how long a watch of the configuration waits for a change: defaultWait, or less where a
+// maximum revocation delay is set.
 func (b *base) configWatchWait(defaultWait time.Duration, share float64) time.Duration {
 	if b.settings.MaxRevocationDelay == 0 {
 		return defaultWait
@@ -67,13 +67,13 @@
 	return min(defaultWait, time.Duration(share*float64(b.settings.MaxRevocationDelay)))
 }
 
-// host is the VM that a daemon runs on. Tests put one in memory in its place.
+// host is the environment that a daemon runs in. Tests replace it by one in memory.
 type host struct {
 	listen func(address string) (net.Listener, error)
 	dial   network.DialContext
 	// load reads the settings file.
 	load func() (platform.Settings, error)
-	// output takes the log.
+	// output receives the log.
 	output io.Writer
 }
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// base is what both daemons have.
+// base holds what both daemons need.
 type base struct {
 	host     host
 	settings platform.Settings
@@ -96,7 +96,7 @@
 	metrics  *metrics.Registry
 	store    *platform.Store
 	links    *peerlink.Pool
-	// seeds are addresses of store daemons for when the layout is not known.
+	// seeds are the addresses of store daemons to use while the layout is not known.
 	seeds atomic.Pointer[[]string]
 }
 
@@ -123,7 +123,7 @@
 	return b, nil
 }
 
-// logStop logs the end of the process and writes the last lines.
+// logStop logs the end of the process and flushes the log.
 func (b *base) logStop(reason string, err error) {
 	fields := logrus.Fields{"event": "stop", "reason": reason}
 	if err != nil {
@@ -138,7 +138,7 @@
 	return listener, Error.Wrap(err)
 }
 
-// newWatcher returns a watch of a handler's prefix that logs its outages and tells the age of what it knows.
+// newWatcher returns a watcher of a handler's prefix that logs its outages and exports the age of its data as a metric.
 func (b *base) newWatcher(link *watch.SharedSource, d time.Duration, h watch.Handler) *watch.Watcher {
 	w := watch.New(link, minWatchInterval, h).WithPollTimeout(d).WithLog(b.log)
 	gauge := fmt.Sprintf("rookpass_watch_age_seconds{prefix=%q}", h.Prefix())
@@ -146,7 +146,7 @@
 	return w
 }
 
-// handler is a watch.Handler made of functions.
+// handler implements watch.Handler with functions.
 type handler struct {
 	prefix string
 	apply  func(objectapi.Object)
@@ -177,7 +177,7 @@
 func (h *handler) Confirm(uint64, time.Time) {}
 func (h *handler) SourceUnavailable()        {}
 
-// ignoreCanceled drops the error of a controller that ended because its context did.
+// ignoreCanceled drops the error of a controller that ended because its context was canceled.
 func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// revocationLimit is within which a withdrawn key must be refused by every daemon, in touch or not.
+	// revocationLimit is the time within which every daemon, connected or not, must refuse a revoked key.
 	revocationLimit = 5 * time.Second
-	// outageDuration is how long the platform's store, or a daemon, is away around a withdrawal.
+	// outageDuration is how long the platform's store or a daemon is unavailable around a revocation.
 	outageDuration = 9 * time.Second
 	// requestInterval is the time between two requests of one organisation at one front.
 	requestInterval = 100 * time.Millisecond
 )
 
-// disruptions are the ways in which daemons miss what operators write.
+// disruptions are the ways in which daemons miss changes by operators.
 var disruptions = map[string]func(w *cluster){
 	"nothing":                               func(*cluster) { time.Sleep(outageDuration) },
 	"store silent":                          func(w *cluster) { w.storeOutage(outages["is silent"]) },
@@ -43,7 +43,7 @@
 
 func (w *cluster) storeOutage(fault func(http.ResponseWriter)) { w.storeOutageDuring(fault, func() {}) }
 
-// storeOutageDuring takes the store away from all daemons, but not from operators, and does something meanwhile.
+// storeOutageDuring makes the store unavailable to all daemons, but not to operators, and calls meanwhile during it.
 func (w *cluster) storeOutageDuring(fault func(http.ResponseWriter), meanwhile func()) {
 	w.platform.SetFault(fault, false)
 	began := time.Now()
@@ -69,7 +69,7 @@
 	time.Sleep(outageDuration - d)
 }
 
-// sendToAllFronts asks every front again and again on behalf of an organisation, until stop is closed.
+// sendToAllFronts keeps sending requests of an organisation to every front until stop is closed.
 func (w *cluster) sendToAllFronts(organisation string, pause time.Duration, stop <-chan struct{}, work *sync.WaitGroup) {
 	for i, m := range w.fronts {
 		caller := w.caller(uint64(i)).ForOrganisation(organisation)
@@ -86,7 +86,7 @@
 	}
 }
 
-// revokeKeys takes an organisation away with its keys, and returns when that was acknowledged.
+// revokeKeys removes an organisation with its keys from the configuration.
 func (w *cluster) revokeKeys(name string) {
 	for i, o := range w.organisations {
 		if o.Name == name {
@@ -97,8 +97,8 @@
 	w.checker.RecordRevocation(name, time.Now().Add(revocationLimit))
 }
 
-// TestRevokedKeyIsRefusedWithinLimit: everywhere, whoever is dark, frozen or started again meanwhile. The other organisation
-// is served again soon after.
+// TestRevokedKeyIsRefusedWithinLimit checks that every front refuses a revoked key in time, whichever daemons are cut
+// off, frozen or restarted meanwhile, and that the other organisation is served soon afterwards.
 func TestRevokedKeyIsRefusedWithinLimit(t *testing.T) {
 	for name, disrupt := range disruptions {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// TestShortOutageRefusesNoRequests: while the store is away for less than the bound leaves, keys are believed.
+// TestShortOutageRefusesNoRequests guards against refused keys when the store is away for less than the limit allows.
 func TestShortOutageRefusesNoRequests(t *testing.T) {
 	for how, fault := range outages {
 		t.Run(strings.ReplaceAll(how, " ", "-"), func(t *testing.T) {
@@ -151,11 +151,10 @@
 	}
 }
 
-// shortOutage is for how long the platform owes no daemon anything less: a daemon without a way to the store for 0.6 of the
-// bound owes nothing.
+// shortOutage is the longest outage of the store during which daemons must still accept every valid key.
 const shortOutage = revocationLimit * 6 / 10
 
-// TestAddedKeyIsAccepted: once it is in force, by daemons that miss the news either.
+// TestAddedKeyIsAccepted guards against a new key that is denied as unknown by daemons that missed the change.
 func TestAddedKeyIsAccepted(t *testing.T) {
 	for name, disrupt := range disruptions {
 		t.Run(strings.ReplaceAll(name, " ", "-"), func(t *testing.T) {
@@ -184,8 +183,8 @@
 	}
 }
 
-// TestLimitHoldsAcrossFronts: an organisation that asks at many times its limit, at every front, is served about its
-// limit and never more than is borne in any window, whatever strikes those who count.
+// TestLimitHoldsAcrossFronts sends many times an organisation's limit to every front. The organisation must get about
+// its limit and never exceed the tolerance in any window, whatever happens to the store daemons that count.
 func TestLimitHoldsAcrossFronts(t *testing.T) {
 	const perSecond = 10
 	most := (perSecond*5+perSecond)*1.1 + 20
@@ -227,7 +226,7 @@
 	}
 }
 
-// killInTurn kills daemons one after the other, each for a moment.
+// killInTurn restarts daemons one after the other.
 func (w *cluster) killInTurn(members []*vm) {
 	for _, m := range members {
 		w.restart(m, 300*time.Millisecond, false)
@@ -235,7 +234,7 @@
 	}
 }
 
-// TestKeysAreNotLogged: not in any log line of any daemon, whatever becomes of the requests.
+// TestKeysAreNotLogged guards against keys in any log line of any daemon, whatever the outcome of the requests.
 func TestKeysAreNotLogged(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		var lines lockedBuffer
@@ -252,8 +251,8 @@
 		close(stop)
 		work.Wait()
 		text := lines.String()
-		assert.Assert(t, strings.Contains(text, "organisation=north"), "the log names organisations")
+		assert.Assert(t, strings.Contains(text, "organisation=north"), "the log does not name the organisation")
 		assert.Assert(t, strings.Contains(text, "outcome=key-unknown"))
-		assert.Assert(t, !strings.Contains(text, "key-of-"), "a key stands in the log")
+		assert.Assert(t, !strings.Contains(text, "key-of-"), "the log contains a key")
 	})
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -14,25 +14,10 @@
 	"github.com/rookpass/rookpass/internal/testing/workload"
 )
 
-// What users saw: after an outage of the platform's store, front daemons went by a configuration of before it for 3 s,
-// answered 404 on a route that had been added, and sent requests to a server 2.4 s after its word that it leaves.
-//
-// Order: the store went away for 5 to 8 s; some daemons were killed and started again meanwhile; operators' changes
-// queued up and were acknowledged together within 0.13 s of its return; servers left right after.
-//
-// Cause: a watch that failed paused for longer and longer, up to 3 s. At the return a store daemon was in such a pause, and
-// a front, which had failed at that store daemon, in one of its own: they added up. A watch that got through at last then
-// waited for a change before it counted as an answer, and a call that a silent store had swallowed held its watch until
-// its time-out.
-//
-// Evidence: in the log of a day with such outages a front regained its watch 3.2 s after the store's return with
-// pause_ms=2836, 3.0 s after its store daemon had (pause_ms=2166), and a watch of the layout 4.7 s after with call_ms=5007.
-
-// updateDeadline is within which a change must be in force that is acknowledged right at the store's return: the bound for any
-// change. It counts from the return, though less is asked of a daemon that has just regained the store.
+// updateDeadline is the time after the store's return within which a change must be in force that is made right then.
 const updateDeadline = 2 * time.Second
 
-// outages are the ways in which the store is away.
+// outages are the ways in which the store is unavailable.
 var outages = map[string]func(http.ResponseWriter){
 	"answers with errors": func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) },
 	"resets":              func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
@@ -42,7 +27,7 @@
 	},
 }
 
-// outageDisruptions are what strikes daemons during an outage.
+// outageDisruptions are faults of daemons during an outage.
 var outageDisruptions = map[string]func(w *cluster){
 	"nothing":                func(*cluster) {},
 	"fronts killed":          func(w *cluster) { w.restartAll(w.fronts[:2]) },
@@ -51,6 +36,8 @@
 	"fronts cut off briefly": func(w *cluster) { w.cut(w.fronts[0], hostNames(w.stores), time.Second) },
 }
 
+// TestUpdatesArriveInTimeAfterOutage guards against retry pauses of store daemons and fronts that add up after an
+// outage, so that fronts serve an old configuration or use a server that leaves.
 func TestUpdatesArriveInTimeAfterOutage(t *testing.T) {
 	for how, fault := range outages {
 		for disruption, disrupt := range outageDisruptions {
@@ -67,7 +54,7 @@
 	}
 }
 
-// runWithLookups plays a course of events while callers look things up, and asks that no promise is broken.
+// runWithLookups runs a test while callers send calls, and checks that no guarantee is violated.
 func runWithLookups(t *testing.T, run func(w *cluster)) {
 	testbubble.Run(t, func(t *testing.T) {
 		w := newCluster(t)
@@ -82,7 +69,7 @@
 	})
 }
 
-// outage takes the store away for a time, and strikes daemons in the middle of it.
+// outage makes the store unavailable for a time, and disrupts daemons after a third of it.
 func (w *cluster) outage(fault func(http.ResponseWriter), disrupt func(*cluster), length time.Duration) {
 	began := time.Now()
 	w.platform.SetFault(fault, false)
@@ -96,7 +83,7 @@
 func (w *cluster) checkUpdates() {
 	returned := time.Now()
 	version := w.publishConfig()
-	w.platform.SetServer(w.servers[1].Drain()) // the checker watches what still reaches it
+	w.platform.SetServer(w.servers[1].Drain()) // the checker reports requests that still reach it too late
 	retiring := w.stores[1]
 	w.platform.Set("retirements", retiring.name, map[string]float64{"duration_s": 8})
 	time.Sleep(time.Until(returned.Add(updateDeadline)))
@@ -107,12 +94,13 @@
 		}
 	}
 	if status := w.platform.Status("retirements", retiring.name); status == "" {
-		w.checker.AddViolation("%s has not said that its disk is being emptied %v after the store's return", retiring.host, updateDeadline)
+		w.checker.AddViolation("%s has not reported its retirement %v after the store's return", retiring.host, updateDeadline)
 	}
-	time.Sleep(3 * time.Second) // requests to the server that left would come now
+	time.Sleep(3 * time.Second) // requests to the drained server would arrive now
 }
 
-// TestFrontStartsWhileStoreIsUnresponsive: it serves by the store daemons' copies, and does not wait for the store first.
+// TestFrontStartsWhileStoreIsUnresponsive guards against a front that waits for the store although store daemons have
+// copies.
 func TestFrontStartsWhileStoreIsUnresponsive(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		w := newCluster(t)
@@ -126,13 +114,12 @@
 	})
 }
 
-// TestExpiredServersStayInUseAfterOutage: the entries of all servers lapse at the end of an outage, since servers can't renew them; those
-// that live are back 1.8 s after the store's return. Nobody may be refused for want of a server, however long the daemons
-// took to notice the outage; a server that is not back gets nothing from then on.
+// TestExpiredServersStayInUseAfterOutage guards against refused requests when the entries of all servers expire in an
+// outage, because servers can't renew them. A server that does not renew its entry afterwards must get no requests.
 func TestExpiredServersStayInUseAfterOutage(t *testing.T) {
 	for how, fault := range outages {
 		for _, begin := range []time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
-			length := shortestExpiry + begin // some are short, one is long
+			length := shortestExpiry + begin // three short outages and a long one
 			if begin == 0 {
 				length = 8 * time.Second
 			}
@@ -154,12 +141,12 @@
 	}
 }
 
-// renewAllButOne brings the entries of all servers but the last back, and watches what that one still gets.
+// renewAllButOne restores the entries of all servers but the last, and lets the checker watch that one.
 func (w *cluster) renewAllButOne() {
 	returned := time.Now()
 	gone := len(w.servers) - 1
 	time.Sleep(removalTime - updateDeadline)
-	w.checker.RecordDraining(w.servers[gone].Entry().ID.Server) // it is watched from newsBound later on
+	w.checker.RecordDraining(w.servers[gone].Entry().ID.Server) // requests to it are violations from updateDeadline later on
 	time.Sleep(time.Until(returned.Add(renewalTime)))
 	for _, s := range w.servers[:gone] {
 		w.platform.SetServer(s.Entry())
@@ -168,17 +155,17 @@
 }
 
 const (
-	// shortestExpiry is the shortest outage in which entries lapse: three heartbeats of 1.2 s without one, of which the
-	// first may have come just before the outage.
+	// shortestExpiry is the shortest outage in which entries expire: three heartbeats of 1.2 s, the first of which may
+	// have come just before the outage.
 	shortestExpiry = 2400 * time.Millisecond
-	// renewalTime is how long after the store's return a living server renews its entry at the latest.
+	// renewalTime is the time after the store's return by which a running server has renewed its entry.
 	renewalTime = 2 * time.Second
-	// removalTime is from when on a server whose entry is not back may get no requests.
+	// removalTime is the time after the store's return from which a server without an entry may get no requests.
 	removalTime = 2800 * time.Millisecond
 )
 
-// TestFrontsStartBeforeStoreDaemonsDuringOutage: after a loss of power everywhere fronts find nobody at first, and the store
-// stays away. They serve by the store daemons' old copies as soon as those are there.
+// TestFrontsStartBeforeStoreDaemonsDuringOutage checks that after a power loss, with the store unavailable, fronts
+// serve from the store daemons' saved copies as soon as those daemons run.
 func TestFrontsStartBeforeStoreDaemonsDuringOutage(t *testing.T) {
 	for how, fault := range outages {
 		t.Run(strings.ReplaceAll(how, " ", "-"), func(t *testing.T) {
--- a/internal/node/readers.go
+++ b/internal/node/readers.go
@@ -17,15 +17,14 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// readersGroupKey picks the slots whose daemons read the platform's objects.
+// readersGroupKey selects the slots whose daemons read the platform's objects.
 const readersGroupKey = "readers of the platform's objects"
 
-// readers returns a function that lists the daemons through which this one reads the platform's objects, or none where it
-// reads the store itself. There are 2 x tolerance + 1 readers, however many store daemons there are: the calls of
-// a watch have a price. As many as may be lost at once, and
-// as many again, still leave one; where no reader can say, a daemon asks the store.
+// readers returns a function that lists the daemons through which this one reads the platform's objects, or none if it
+// reads the store itself. There are 2 x tolerance + 1 readers however many store daemons there are, since the calls of
+// a watch have a cost. If no reader answers, the daemon reads the store.
 func (b *base) readers(store *replica.Store) func() []feed.NamedMirror {
-	links := peerlink.NewSet(b.host.dial) // apart from those of turns: a watch that hangs must not break their calls
+	links := peerlink.NewSet(b.host.dial) // separate from the links for turns: a watch that hangs must not break their calls
 	return func() []feed.NamedMirror {
 		l := store.Layout()
 		if l == nil {
@@ -47,7 +46,7 @@
 	}
 }
 
-// byPreference sorts disks: the nearest first, else by a hash of this VM's and theirs.
+// byPreference sorts disks in place: the nearest first, and at the same distance by a hash of both VMs' names.
 func (b *base) byPreference(disks []layout.Disk) []layout.Disk {
 	rank := func(d layout.Disk) uint64 { return xxhash.Sum64String(b.settings.Node + " " + d.Node) }
 	at := b.settings.Topology()
@@ -57,7 +56,7 @@
 	return disks
 }
 
-// singlePrefixSource adapts the platform's store to one prefix a watch.
+// singlePrefixSource adapts the platform's store to watches of one prefix each.
 type singlePrefixSource struct{ store *platform.Store }
 
 func (s singlePrefixSource) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -14,12 +14,11 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// settingsPollInterval is the time between two looks at the settings file, which may change without a signal.
+// settingsPollInterval is the time between two reads of the settings file without a signal.
 const settingsPollInterval = 5 * time.Second
 
-// watchSettings reads the settings file again on SIGHUP, and now and then, until ctx ends. Seeds and the memory
-// limit take effect; addresses, folders and tolerances hold for a process's life. A file that is wrong changes
-// nothing.
+// watchSettings reads the settings file again on SIGHUP and every settingsPollInterval, until ctx ends. Only the seeds
+// and the memory limit take effect without a restart. A file that can't be loaded changes nothing.
 func (b *base) watchSettings(ctx context.Context) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -38,19 +37,19 @@
 		}
 		next, err := b.host.load()
 		if err != nil {
-			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "refused", "error": err}).Warn("settings not read; the old ones stay")
+			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "refused", "error": err}).Warn("settings file refused; keeping the previous settings")
 			continue
 		}
 		changed := !reflect.DeepEqual(next, read)
 		read = next
 		b.applySettings(next)
 		if changed || why == "signal" {
-			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "read", "changed": changed}).Info("settings read")
+			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "read", "changed": changed}).Info("settings file read")
 		}
 	}
 }
 
-// applySettings puts in force what may change during a process's life.
+// applySettings applies the settings that may change without a restart.
 func (b *base) applySettings(s platform.Settings) {
 	b.seeds.Store(&s.Seeds)
 	debug.SetGCPercent(gcPercent)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -19,7 +19,7 @@
 	"github.com/rookpass/rookpass/platform/platformtest"
 )
 
-// logLines collects log logLines and tells of each.
+// logLines collects log lines and signals each write.
 type logLines struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -43,7 +43,7 @@
 	return l.text.String()
 }
 
-// TestReloadOnSignal: a good file takes effect, a wrong one changes nothing.
+// TestReloadOnSignal checks that a valid file takes effect and that a malformed one changes nothing.
 func TestReloadOnSignal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	process := platformtest.Settings{Node: "front-1", Class: "front", IP: "127.0.0.1", DataCentre: "a", StoreAddress: "127.0.0.1:1",
@@ -57,7 +57,7 @@
 	log.SetOutput(out)
 	b := &base{host: localHost(), settings: settings, log: log}
 	b.applySettings(settings)
-	alive := make(chan os.Signal, 1) // a signal that nobody listens for would end the test
+	alive := make(chan os.Signal, 1) // an unhandled signal would end the test
 	signal.Notify(alive, syscall.SIGHUP)
 	defer signal.Stop(alive)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
@@ -76,7 +76,7 @@
 	<-ended
 }
 
-// signalReload sends this process the signal until a line tells the outcome: the daemon may not listen for it yet.
+// signalReload sends this process SIGHUP until a line shows the outcome: the daemon may not listen for it yet.
 func signalReload(t *testing.T, ctx context.Context, out *logLines, outcome string) {
 	t.Helper()
 	for !strings.Contains(out.String(), "outcome="+outcome) {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -17,10 +17,10 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// StatusPath is where a daemon's metrics address tells operators what is in force there.
+// StatusPath is the path of the status page at a daemon's metrics address.
 const StatusPath = "/status"
 
-// FrontStatus is what a front daemon believes.
+// FrontStatus is the status page of a front daemon.
 type FrontStatus struct {
 	Node           string         `json:"node"`
 	Ready          bool           `json:"ready"`
@@ -31,20 +31,20 @@
 	ActiveRequests int64          `json:"active_requests"`
 	Layout         *layout.Layout `json:"layout"`
 	Servers        []ServerStatus `json:"servers"`
-	// Costs are learnt of turns, by service.
+	// Costs are the estimated costs of turns, by service.
 	Costs map[string]policy.Costs `json:"costs"`
-	// ConfigAgeMS is how old the configuration may be by which keys are judged; -1 where nobody can say.
+	// ConfigAgeMS is the maximum age of the configuration by which keys are checked; -1 if unknown.
 	ConfigAgeMS   int64                `json:"config_age_ms"`
 	Organisations []OrganisationStatus `json:"organisations,omitempty"`
 }
 
-// OrganisationStatus is an organisation in force on a front daemon.
+// OrganisationStatus is an organisation in a front daemon's configuration.
 type OrganisationStatus struct {
 	Name string `json:"name"`
-	// Keys are the fingerprints of its keys: "printf KEY | sha256sum" begins with one.
+	// Keys are the fingerprints of its keys, each the start of the output of "printf KEY | sha256sum".
 	Keys     []string `json:"keys"`
 	Priority *int     `json:"priority,omitempty"`
-	// PerSecond and Burst are its limit; 0 for none.
+	// PerSecond and Burst are its request limit; 0 if there is none.
 	PerSecond float64 `json:"per_second"`
 	Burst     float64 `json:"burst"`
 }
@@ -60,13 +60,13 @@
 	return s
 }
 
-// ServerStatus is one backend server as a front daemon sees it.
+// ServerStatus is a backend server as a front daemon sees it.
 type ServerStatus struct {
 	catalog.Server
 	balance.View
 }
 
-// StoreStatus is what a store daemon believes. Turns are those of the program asked for.
+// StoreStatus is the status page of a store daemon. ProgramTurns are the turns of the requested program.
 type StoreStatus struct {
 	Node         string                `json:"node"`
 	Disk         string                `json:"disk"`
@@ -76,7 +76,7 @@
 	Bytes        int64                 `json:"bytes"`
 	Layout       *layout.Layout        `json:"layout"`
 	ProgramTurns []replica.BudgetEntry `json:"program_turns,omitempty"`
-	// Limits are the organisations whose requests are counted here.
+	// Limits are the request counts of the organisations that are counted here.
 	Limits []quota.Count `json:"limits"`
 }
 
@@ -100,7 +100,7 @@
 	return s
 }
 
-// storeStatus returns the status page of a store daemon.
+// storeStatus returns the handler of a store daemon's status page.
 func storeStatus(node string, store *replica.Store, quotas *quota.Service) func(*http.Request) any {
 	return func(r *http.Request) any {
 		s := StoreStatus{Node: node, Disk: store.Self().ID, Slot: -1, Bytes: store.Bytes(), Layout: store.Layout(), Limits: quotas.Counts()}
@@ -115,13 +115,13 @@
 	}
 }
 
-// servePages serves metrics and status until ctx ends. A daemon works without them.
+// servePages serves the metrics and the status page until ctx ends. The daemon runs on if that fails.
 func (b *base) servePages(ctx context.Context, status func(*http.Request) any) error {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", b.metrics)
 	mux.HandleFunc(StatusPath, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status(r)) // the reader may have left
+		_ = json.NewEncoder(w).Encode(status(r)) // the client may have disconnected
 	})
 	listener, err := b.listen(b.settings.MetricsAddress())
 	if err == nil {
@@ -130,7 +130,7 @@
 		err = http.Serve(listener, mux)
 	}
 	if ctx.Err() == nil {
-		b.log.WithFields(logrus.Fields{"event": "metrics-failed", "error": err}).Error("metrics not served")
+		b.log.WithFields(logrus.Fields{"event": "metrics-failed", "error": err}).Error("metrics and status page not served")
 	}
 	<-ctx.Done()
 	return ctx.Err()
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -23,24 +23,24 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// storeWatchWait is how long a reader's watch waits for a change. It bounds how late a silent cut from the platform's store is
-// noticed; each call has a price.
+// storeWatchWait is how long a reader's watch waits for a change. It bounds how late a lost connection to the
+// platform's store is noticed; each call has a cost.
 const storeWatchWait = 1500 * time.Millisecond
 
-// readerWatchWait is the same for a store daemon that reads through a reader. Those calls have no price, and its copy must not
-// get much older than the reader's.
+// readerWatchWait is how long the watch of a store daemon waits that reads through a reader. Its copy must not become
+// much older than the reader's.
 const readerWatchWait = 300 * time.Millisecond
 
-// slowWatchWait is the same for the layout, which also travels with the disks' answers, and for retirements, which
-// leave several seconds.
+// slowWatchWait is how long watches wait for the layout, which also comes with the disks' answers, and for retirements,
+// which leave several seconds.
 const slowWatchWait = 5 * time.Second
 
-// evacuationWatchShare of the time within which nothing more may go to an evacuated data centre is how long a watch of the
-// evacuations waits, so that a silent cut from the platform's store is noticed well before.
+// evacuationWatchShare is the share of the maximum evacuation delay for which a watch of the evacuations waits, so that
+// a lost connection to the platform's store is noticed well before the delay is over.
 const evacuationWatchShare = 0.3
 
-// mirrorAgeMargin is how much older than a watch's wait a mirror's copy may be: the pause between two watches, an answer of the
-// platform's store when it is slow, some 0.3 s, and where the daemon reads through a reader followWait.
+// mirrorAgeMargin is how much older than a watch's wait a mirror's copy may be. It covers the pause between two
+// watches, a slow answer of the platform's store, and readerWatchWait where the daemon reads through a reader.
 const mirrorAgeMargin = 800*time.Millisecond + readerWatchWait
 
 // RunStore runs the store daemon until ctx ends.
@@ -84,7 +84,7 @@
 		mirror.New(layoutPrefix, slowWatchWait+mirrorAgeMargin),
 		mirror.New(platform.RetirementsPrefix, slowWatchWait+mirrorAgeMargin),
 	}
-	var evacuations []*mirror.Mirror // none where data centres are never evacuated: each watch has a price
+	var evacuations []*mirror.Mirror // none if data centres are never evacuated, since each watch has a cost
 	evacuationWait := time.Duration(evacuationWatchShare * float64(s.MaxEvacuationDelay))
 	if s.MaxEvacuationDelay > 0 {
 		evacuations = append(evacuations, mirror.New(platform.EvacuationsPrefix, evacuationWait+mirrorAgeMargin))
@@ -126,10 +126,10 @@
 			return ctx.Err()
 		})
 	}
-	for i, name := range []string{"configuration", "servers", "layout"} { // retirements are of no use once they are old
+	for i, name := range []string{"configuration", "servers", "layout"} { // old retirements are of no use
 		path := filepath.Join(s.DataDir, name+".json")
 		if err := mirrors[i].Load(path); err != nil {
-			// The copy only helps where the platform's store is away; the disk's turns matter more.
+			// The copy is only needed while the platform's store is unavailable, so the daemon starts without it.
 			b.log.WithFields(logrus.Fields{"event": "mirror-load-failed", "file": path, "error": err}).Error("saved copy not read")
 		}
 		group.Go(func() error { return mirrors[i].SavePeriodically(ctx, path, b.log) })
@@ -144,7 +144,7 @@
 	for _, w := range watchers {
 		group.Go(func() error {
 			if s.FirstStart {
-				_ = wait.For(ctx, bootstrapWait) // until then every disk would read the store itself
+				_ = wait.For(ctx, bootstrapWait) // before the layout is known, every daemon would read the store itself
 			}
 			return w.Run(ctx)
 		})
@@ -152,7 +152,7 @@
 	return errors.Join(group.Wait(), store.Close())
 }
 
-// hubsByArea returns a function that lists where all hubs may be.
+// hubsByArea returns a function that lists the addresses of all hubs.
 func hubsByArea(store *replica.Store, regions map[string]string) func(crowded bool) map[string][]string {
 	return func(crowded bool) map[string][]string {
 		l := store.Layout()
@@ -188,7 +188,7 @@
 	h.second.SourceUnavailable()
 }
 
-// retirements implements replica.Retirements from the platform's objects.
+// retirements implements replica.Retirements on the platform's objects.
 type retirements struct {
 	platform *platform.Store
 	log      logrus.FieldLogger
@@ -220,7 +220,7 @@
 	}
 }
 
-// reset drops what was known, before a new list.
+// reset forgets all retirements before a new list is applied.
 func (r *retirements) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
