--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node wires the daemons that run on the users' platform: the front daemon, which takes callers'
-// requests, and the store daemon, which keeps turns on its VM's disk.
+// Package node assembles the daemons that run on the users' platform: the front daemon, which serves callers' requests,
+// and the store daemon, which stores turns on its VM's disk.
 package node
 
 import (
@@ -29,65 +29,65 @@
 var Error = errs.Class("node")
 
 const (
-	// layoutPrefix and layoutKey are where the layout of disks lies in the platform's store.
+	// layoutPrefix and layoutKey locate the layout object in the platform's store.
 	layoutPrefix = "rookpass-layout/"
 	layoutKey    = layoutPrefix + "main"
-	// candidatesPrefix is where the first disks enter themselves there.
+	// candidatesPrefix is the prefix of the objects that register disks for the first layout.
 	candidatesPrefix = "rookpass-disks/"
-	// connectTimeout is far above a connection between data centres, and below what a caller waits.
+	// connectTimeout bounds a connection attempt, between data centres too.
 	connectTimeout = 400 * time.Millisecond
-	// silenceTimeout ends connections on which sent bytes stay unacknowledged: some lost packets are borne.
-	silenceTimeout = 1200 * time.Millisecond
-	// watchPace is the least time between two calls of a watch: a burst of changes, as when all servers start,
-	// costs few calls. It is a tenth of the time in which a change must be known.
-	watchPace = 200 * time.Millisecond
-	// formingTime is how long the store daemons take to form the first layout; asking earlier costs calls.
-	formingTime = 3300 * time.Millisecond
-	// heapShare of a VM's memory is where the collector begins to work hard.
-	heapShare = 0.6
-	// gcPercent is by how much the heap may grow over what is live before it is collected. What is live is mostly the list of
-	// servers, and daemons make little garbage.
+	// unacknowledgedTimeout closes connections on which sent bytes stay unacknowledged; a few lost packets are
+	// tolerated.
+	unacknowledgedTimeout = 1200 * time.Millisecond
+	// minWatchInterval is the shortest time between two calls of a watch, so that a burst of changes takes few calls.
+	minWatchInterval = 200 * time.Millisecond
+	// bootstrapWait is how long daemons wait at the first start for the store daemons to form the layout.
+	bootstrapWait = 3300 * time.Millisecond
+	// memoryLimitShare is the share of a VM's memory at which the garbage collector works harder.
+	memoryLimitShare = 0.6
+	// gcPercent is the heap growth over the live data at which the heap is collected.
 	gcPercent = 40
 )
 
-// Shares of the time within which a withdrawn key must be refused everywhere, for which watches of the configuration wait:
-// readerShare at the platform's store, hopShare at another daemon. As old as the configuration is when the store goes dark, as
-// much sooner keys are no longer believed; but each call to the store has a price.
+// storeWatchShare and mirrorWatchShare are the shares of the maximum revocation delay for which watches of the
+// configuration wait at the platform's store and at another daemon. The longer they wait, the older the configuration
+// may be when the store becomes unavailable and the sooner keys can no longer be verified; but each call to the store
+// has a cost.
 const (
-	readerShare = 0.1
-	hopShare    = 0.05
+	storeWatchShare  = 0.1
+	mirrorWatchShare = 0.05
 )
 
-// configWait returns how long a watch of the configuration waits for a change: usual, or a share of the time within which
-// a withdrawn key must be refused, where that is asked.
-func (b *base) configWait(usual time.Duration, share float64) time.Duration {
+// configWatchWait returns how long a watch of the configuration waits for a change: defaultWait, or less where a
+// maximum revocation delay is set.
+func (b *base) configWatchWait(defaultWait time.Duration, share float64) time.Duration {
 	if b.settings.MaxRevocationDelay == 0 {
-		return usual
+		return defaultWait
 	}
-	return min(usual, time.Duration(share*float64(b.settings.MaxRevocationDelay)))
+	return min(defaultWait, time.Duration(share*float64(b.settings.MaxRevocationDelay)))
 }
 
-// host is the VM that a daemon runs on. Tests put one in memory in its place.
+// host is the environment that a daemon runs in. Tests replace it by one in memory.
 type host struct {
 	listen func(address string) (net.Listener, error)
 	dial   network.DialContext
 	// load reads the settings file.
 	load func() (platform.Settings, error)
-	// output takes the log.
+	// output receives the log.
 	output io.Writer
 }
 
-// thisVM returns the host that the process runs on.
-func thisVM() host {
+// localHost returns the host that the process runs on.
+func localHost() host {
 	return host{
 		listen: func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
-		dial:   network.NewDialer(connectTimeout, silenceTimeout),
+		dial:   network.NewDialer(connectTimeout, unacknowledgedTimeout),
 		load:   platform.LoadSettings,
 		output: os.Stdout,
 	}
 }
 
-// base is what both daemons have.
+// base holds what both daemons need.
 type base struct {
 	host     host
 	settings platform.Settings
@@ -96,7 +96,7 @@
 	metrics  *metrics.Registry
 	store    *platform.Store
 	links    *peerlink.Pool
-	// seeds are addresses of store daemons for when the layout is not known.
+	// seeds are the addresses of store daemons to use while the layout is not known.
 	seeds atomic.Pointer[[]string]
 }
 
@@ -115,7 +115,7 @@
 		store:    platform.NewStore(settings.StoreAddress, host.dial),
 		links:    peerlink.NewPool(host.dial),
 	}
-	b.apply(settings)
+	b.applySettings(settings)
 	b.metrics.Gauge("rookpass_store_calls_total", func() float64 { return float64(b.store.Calls()) })
 	b.metrics.Gauge("rookpass_log_lines_dropped_total", func() float64 { return float64(out.Dropped()) })
 	log.WithFields(logrus.Fields{"event": "start", "role": role, "data_centre": settings.DataCentre, "first_start": settings.FirstStart,
@@ -123,8 +123,8 @@
 	return b, nil
 }
 
-// stopped logs the end of the process and writes the last lines.
-func (b *base) stopped(reason string, err error) {
+// logStop logs the end of the process and flushes the log.
+func (b *base) logStop(reason string, err error) {
 	fields := logrus.Fields{"event": "stop", "reason": reason}
 	if err != nil {
 		fields["error"] = err
@@ -138,15 +138,15 @@
 	return listener, Error.Wrap(err)
 }
 
-// watcher returns a watch of a handler's prefix that logs its outages and tells the age of what it knows.
-func (b *base) watcher(link *watch.SharedSource, d time.Duration, h watch.Handler) *watch.Watcher {
-	w := watch.New(link, watchPace, h).WithPollTimeout(d).WithLog(b.log)
+// newWatcher returns a watcher of a handler's prefix that logs its outages and exports the age of its data as a metric.
+func (b *base) newWatcher(link *watch.SharedSource, d time.Duration, h watch.Handler) *watch.Watcher {
+	w := watch.New(link, minWatchInterval, h).WithPollTimeout(d).WithLog(b.log)
 	gauge := fmt.Sprintf("rookpass_watch_age_seconds{prefix=%q}", h.Prefix())
 	b.metrics.Gauge(gauge, func() float64 { return w.Age().Seconds() })
 	return w
 }
 
-// handler is a watch.Handler made of functions.
+// handler implements watch.Handler with functions.
 type handler struct {
 	prefix string
 	apply  func(objectapi.Object)
@@ -177,8 +177,8 @@
 func (h *handler) Confirm(uint64, time.Time) {}
 func (h *handler) SourceUnavailable()        {}
 
-// ignoreEnd drops the error of a controller that ended because its context did.
-func ignoreEnd(err error) error {
+// ignoreCanceled drops the error of a controller that ended because its context was canceled.
+func ignoreCanceled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
 	}
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -14,25 +14,10 @@
 	"github.com/rookpass/rookpass/internal/testing/workload"
 )
 
-// What users saw: after an outage of the platform's store, front daemons went by a configuration of before it for 3 s,
-// answered 404 on a route that had been added, and sent requests to a server 2.4 s after its word that it leaves.
-//
-// Order: the store went away for 5 to 8 s; some daemons were killed and started again meanwhile; operators' changes
-// queued up and were acknowledged together within 0.13 s of its return; servers left right after.
-//
-// Cause: a watch that failed paused for longer and longer, up to 3 s. At the return a store daemon was in such a pause, and
-// a front, which had failed at that store daemon, in one of its own: they added up. A watch that got through at last then
-// waited for a change before it counted as an answer, and a call that a silent store had swallowed held its watch until
-// its time-out.
-//
-// Evidence: in the log of a day with such outages a front regained its watch 3.2 s after the store's return with
-// pause_ms=2836, 3.0 s after its store daemon had (pause_ms=2166), and a watch of the layout 4.7 s after with call_ms=5007.
+// updateDeadline is the time after the store's return within which a change must be in force that is made right then.
+const updateDeadline = 2 * time.Second
 
-// newsBound is within which a change must be in force that is acknowledged right at the store's return: the bound for any
-// change. It counts from the return, though less is asked of a daemon that has just regained the store.
-const newsBound = 2 * time.Second
-
-// outages are the ways in which the store is away.
+// outages are the ways in which the store is unavailable.
 var outages = map[string]func(http.ResponseWriter){
 	"answers with errors": func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) },
 	"resets":              func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
@@ -42,24 +27,26 @@
 	},
 }
 
-// meanwhile are what strikes daemons during an outage.
-var meanwhile = map[string]func(w *world){
-	"nothing":                func(*world) {},
-	"fronts killed":          func(w *world) { w.restartAll(w.fronts[:2]) },
-	"store daemon killed":    func(w *world) { w.restartAll(w.stores[:1]) },
-	"all daemons killed":     func(w *world) { w.restartAll(w.members()) },
-	"fronts cut off briefly": func(w *world) { w.cut(w.fronts[0], hosts(w.stores), time.Second) },
+// outageDisruptions are faults of daemons during an outage.
+var outageDisruptions = map[string]func(w *cluster){
+	"nothing":                func(*cluster) {},
+	"fronts killed":          func(w *cluster) { w.restartAll(w.fronts[:2]) },
+	"store daemon killed":    func(w *cluster) { w.restartAll(w.stores[:1]) },
+	"all daemons killed":     func(w *cluster) { w.restartAll(w.vms()) },
+	"fronts cut off briefly": func(w *cluster) { w.cut(w.fronts[0], hostNames(w.stores), time.Second) },
 }
 
-func TestNewsComesSoonAfterAnOutage(t *testing.T) {
+// TestUpdatesArriveInTimeAfterOutage guards against retry pauses of store daemons and fronts that add up after an
+// outage, so that fronts serve an old configuration or use a server that leaves.
+func TestUpdatesArriveInTimeAfterOutage(t *testing.T) {
 	for how, fault := range outages {
-		for struck, strike := range meanwhile {
+		for disruption, disrupt := range outageDisruptions {
 			for _, length := range []time.Duration{4 * time.Second, 8 * time.Second} {
-				t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%s/%v", how, struck, length), " ", "-"), func(t *testing.T) {
+				t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%s/%v", how, disruption, length), " ", "-"), func(t *testing.T) {
 					t.Parallel()
-					amidLookups(t, func(w *world) {
-						w.outage(fault, strike, length)
-						w.checkNews()
+					runWithLookups(t, func(w *cluster) {
+						w.outage(fault, disrupt, length)
+						w.checkUpdates()
 					})
 				})
 			}
@@ -67,14 +54,14 @@
 	}
 }
 
-// amidLookups plays a course of events while callers look things up, and asks that no promise is broken.
-func amidLookups(t *testing.T, play func(w *world)) {
+// runWithLookups runs a test while callers send calls, and checks that no guarantee is violated.
+func runWithLookups(t *testing.T, run func(w *cluster)) {
 	testbubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		stop := make(chan struct{})
 		var work sync.WaitGroup
-		work.Go(func() { w.ask(workload.IdempotentCalls, stop) })
-		play(w)
+		work.Go(func() { w.runCallers(workload.IdempotentCalls, stop) })
+		run(w)
 		close(stop)
 		work.Wait()
 		broken := w.checker.Violations()
@@ -82,40 +69,41 @@
 	})
 }
 
-// outage takes the store away for a time, and strikes daemons in the middle of it.
-func (w *world) outage(fault func(http.ResponseWriter), strike func(*world), length time.Duration) {
+// outage makes the store unavailable for a time, and disrupts daemons after a third of it.
+func (w *cluster) outage(fault func(http.ResponseWriter), disrupt func(*cluster), length time.Duration) {
 	began := time.Now()
 	w.platform.SetFault(fault, false)
 	time.Sleep(length / 3)
-	strike(w)
+	disrupt(w)
 	time.Sleep(time.Until(began.Add(length)))
 	w.platform.SetFault(nil, false)
 }
 
-// checkNews makes a change of each kind at the store's return, and checks that each is in force in time.
-func (w *world) checkNews() {
+// checkUpdates makes a change of each kind at the store's return, and checks that each is in force in time.
+func (w *cluster) checkUpdates() {
 	returned := time.Now()
-	version := w.configure()
-	w.platform.SetServer(w.servers[1].Drain()) // the checker watches what still reaches it
+	version := w.publishConfig()
+	w.platform.SetServer(w.servers[1].Drain()) // the checker reports requests that still reach it too late
 	retiring := w.stores[1]
 	w.platform.Set("retirements", retiring.name, map[string]float64{"duration_s": 8})
-	time.Sleep(time.Until(returned.Add(newsBound)))
+	time.Sleep(time.Until(returned.Add(updateDeadline)))
 	caller := w.caller(99)
 	for _, front := range w.fronts {
-		if !caller.HasConfigVersion(front.callers(), front.host, version) {
-			w.checker.AddViolation("%s does not serve version %d %v after the store's return", front.host, version, newsBound)
+		if !caller.HasConfigVersion(front.callerAddress(), front.host, version) {
+			w.checker.AddViolation("%s does not serve version %d %v after the store's return", front.host, version, updateDeadline)
 		}
 	}
 	if status := w.platform.Status("retirements", retiring.name); status == "" {
-		w.checker.AddViolation("%s has not said that its disk is being emptied %v after the store's return", retiring.host, newsBound)
+		w.checker.AddViolation("%s has not reported its retirement %v after the store's return", retiring.host, updateDeadline)
 	}
-	time.Sleep(3 * time.Second) // requests to the server that left would come now
+	time.Sleep(3 * time.Second) // requests to the drained server would arrive now
 }
 
-// TestFrontStartsWhileTheStoreIsSilent: it serves by the store daemons' copies, and does not wait for the store first.
-func TestFrontStartsWhileTheStoreIsSilent(t *testing.T) {
+// TestFrontStartsWhileStoreIsUnresponsive guards against a front that waits for the store although store daemons have
+// copies.
+func TestFrontStartsWhileStoreIsUnresponsive(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		w.platform.SetFault(outages["is silent"], false)
 		time.Sleep(4 * time.Second)
 		w.kill(w.fronts[0])
@@ -126,21 +114,20 @@
 	})
 }
 
-// TestLapsedServersStayInUse: the entries of all servers lapse at the end of an outage, since servers can't renew them; those
-// that live are back 1.8 s after the store's return. Nobody may be refused for want of a server, however long the daemons
-// took to notice the outage; a server that is not back gets nothing from then on.
-func TestLapsedServersStayInUse(t *testing.T) {
+// TestExpiredServersStayInUseAfterOutage guards against refused requests when the entries of all servers expire in an
+// outage, because servers can't renew them. A server that does not renew its entry afterwards must get no requests.
+func TestExpiredServersStayInUseAfterOutage(t *testing.T) {
 	for how, fault := range outages {
 		for _, begin := range []time.Duration{0, 500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
-			length := shortestLapse + begin // some are short, one is long
+			length := shortestExpiry + begin // three short outages and a long one
 			if begin == 0 {
 				length = 8 * time.Second
 			}
 			t.Run(strings.ReplaceAll(fmt.Sprintf("%s/%v", how, length), " ", "-"), func(t *testing.T) {
 				t.Parallel()
-				amidLookups(t, func(w *world) {
+				runWithLookups(t, func(w *cluster) {
 					time.Sleep(begin)
-					w.outage(fault, func(w *world) {
+					w.outage(fault, func(w *cluster) {
 						time.Sleep(length*2/3 - 100*time.Millisecond)
 						for _, s := range w.servers {
 							w.platform.RemoveServer(s.Entry().ID.Server)
@@ -154,13 +141,13 @@
 	}
 }
 
-// renewAllButOne brings the entries of all servers but the last back, and watches what that one still gets.
-func (w *world) renewAllButOne() {
+// renewAllButOne restores the entries of all servers but the last, and lets the checker watch that one.
+func (w *cluster) renewAllButOne() {
 	returned := time.Now()
 	gone := len(w.servers) - 1
-	time.Sleep(goneAfter - newsBound)
-	w.checker.RecordDraining(w.servers[gone].Entry().ID.Server) // it is watched from newsBound later on
-	time.Sleep(time.Until(returned.Add(renewal)))
+	time.Sleep(removalTime - updateDeadline)
+	w.checker.RecordDraining(w.servers[gone].Entry().ID.Server) // requests to it are violations from updateDeadline later on
+	time.Sleep(time.Until(returned.Add(renewalTime)))
 	for _, s := range w.servers[:gone] {
 		w.platform.SetServer(s.Entry())
 	}
@@ -168,25 +155,25 @@
 }
 
 const (
-	// shortestLapse is the shortest outage in which entries lapse: three heartbeats of 1.2 s without one, of which the
-	// first may have come just before the outage.
-	shortestLapse = 2400 * time.Millisecond
-	// renewal is how long after the store's return a living server renews its entry at the latest.
-	renewal = 2 * time.Second
-	// goneAfter is from when on a server whose entry is not back may get no requests.
-	goneAfter = 2800 * time.Millisecond
+	// shortestExpiry is the shortest outage in which entries expire: three heartbeats of 1.2 s, the first of which may
+	// have come just before the outage.
+	shortestExpiry = 2400 * time.Millisecond
+	// renewalTime is the time after the store's return by which a running server has renewed its entry.
+	renewalTime = 2 * time.Second
+	// removalTime is the time after the store's return from which a server without an entry may get no requests.
+	removalTime = 2800 * time.Millisecond
 )
 
-// TestFrontsStartBeforeStoreDaemonsInAnOutage: after a loss of power everywhere fronts find nobody at first, and the store
-// stays away. They serve by the store daemons' old copies as soon as those are there.
-func TestFrontsStartBeforeStoreDaemonsInAnOutage(t *testing.T) {
+// TestFrontsStartBeforeStoreDaemonsDuringOutage checks that after a power loss, with the store unavailable, fronts
+// serve from the store daemons' saved copies as soon as those daemons run.
+func TestFrontsStartBeforeStoreDaemonsDuringOutage(t *testing.T) {
 	for how, fault := range outages {
 		t.Run(strings.ReplaceAll(how, " ", "-"), func(t *testing.T) {
 			testbubble.Run(t, func(t *testing.T) {
-				w := newWorld(t)
+				w := newCluster(t)
 				time.Sleep(2 * time.Second) // copies are saved once a second
 				w.platform.SetFault(fault, false)
-				for _, m := range w.members() {
+				for _, m := range w.vms() {
 					w.kill(m)
 				}
 				for _, m := range w.fronts {
@@ -198,7 +185,7 @@
 				}
 				began := time.Now()
 				w.awaitReady()
-				assert.Assert(t, time.Since(began) <= newsBound, "ready after %v", time.Since(began))
+				assert.Assert(t, time.Since(began) <= updateDeadline, "ready after %v", time.Since(began))
 			})
 		})
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -14,17 +14,16 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// settingsPause is the time between two looks at the settings file, which may change without a signal.
-const settingsPause = 5 * time.Second
+// settingsPollInterval is the time between two reads of the settings file without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// followSettings reads the settings file again on SIGHUP, and now and then, until ctx ends. Seeds and the memory
-// limit take effect; addresses, folders and tolerances hold for a process's life. A file that is wrong changes
-// nothing.
-func (b *base) followSettings(ctx context.Context) error {
+// watchSettings reads the settings file again on SIGHUP and every settingsPollInterval, until ctx ends. Only the seeds
+// and the memory limit take effect without a restart. A file that can't be loaded changes nothing.
+func (b *base) watchSettings(ctx context.Context) error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	ticker := time.NewTicker(settingsPause)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	read := b.settings
 	for {
@@ -38,21 +37,21 @@
 		}
 		next, err := b.host.load()
 		if err != nil {
-			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "refused", "error": err}).Warn("settings not read; the old ones stay")
+			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "refused", "error": err}).Warn("settings file refused; keeping the previous settings")
 			continue
 		}
 		changed := !reflect.DeepEqual(next, read)
 		read = next
-		b.apply(next)
+		b.applySettings(next)
 		if changed || why == "signal" {
-			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "read", "changed": changed}).Info("settings read")
+			b.log.WithFields(logrus.Fields{"event": "reload", "why": why, "outcome": "read", "changed": changed}).Info("settings file read")
 		}
 	}
 }
 
-// apply puts in force what may change during a process's life.
-func (b *base) apply(s platform.Settings) {
+// applySettings applies the settings that may change without a restart.
+func (b *base) applySettings(s platform.Settings) {
 	b.seeds.Store(&s.Seeds)
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(heapShare * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 }
--- a/internal/turns/replica/takeover.go
+++ b/internal/turns/replica/takeover.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// pageTimeout bounds one page: a quarter of a megabyte over a link that others use too.
+	// pageTimeout bounds the call for one page.
 	pageTimeout = 3 * time.Second
-	// pullIDs bounds the turns that one question names.
-	pullIDs = 500
+	// pullBatchTurns is the number of turns that one call requests.
+	pullBatchTurns = 500
 )
 
-// takeOver copies what the slot must hold from the other slots, then makes this disk the slot's holder. All others are asked
-// what they have; what is missing here is then copied once, from the nearest that has it. So a second try goes on where the
-// first one failed, and little travels far.
+// takeOver copies what the slot must hold from the other slots, then makes this disk the slot's holder. All others are
+// asked which turns they hold; each missing record is then copied once, from the nearest disk that has it. A retry
+// copies only what is still missing.
 //
-// A durable record lies on at least tolerance + 1 slots of its group, so on tolerance of the others; all
-// others but tolerance - 1 hold every one between them.
+// A durable record is on at least tolerance + 1 slots of its group, so on at least tolerance of the others: the lists
+// of all others but tolerance - 1 name every durable record.
 func (c *Controller) takeOver(ctx context.Context, l *layout.Layout, slot int) error {
 	began := time.Now()
-	missing := newShortfall(c.store.index)
-	unheard := c.listAll(ctx, l, slot, missing)
-	if unheard > max(0, l.Tolerance-1) {
-		return Error.New("slot %d: %d of %d disks did not tell what they have", slot, unheard, l.OccupiedSlots()-1)
+	missing := newMissingTurns(c.store.index)
+	unanswered := c.listMissing(ctx, l, slot, missing)
+	if unanswered > max(0, l.Tolerance-1) {
+		return Error.New("slot %d: %d of %d disks did not list their turns", slot, unanswered, l.OccupiedSlots()-1)
 	}
 	copied, err := c.copyMissing(ctx, l, missing)
 	if err != nil {
@@ -43,12 +43,13 @@
 	next.Slots[slot].Disk = c.store.Self()
 	next.Slots[slot].Joining = nil
 	c.log.WithFields(logrus.Fields{"event": "slot-filled", "slot": slot, "records": copied,
-		"ms": time.Since(began).Milliseconds(), "epoch": next.Epoch}).Info("slot copied")
-	return c.put(ctx, next)
+		"ms": time.Since(began).Milliseconds(), "epoch": next.Epoch}).Info("slot taken over")
+	return c.putLayout(ctx, next)
 }
 
-// listAll asks all other slots what they have of what the slot must hold, and returns how many did not tell.
-func (c *Controller) listAll(ctx context.Context, l *layout.Layout, slot int, missing *shortfall) (unheard int) {
+// listMissing asks all other slots which turns they hold of those that the slot must hold, and returns how many disks
+// did not answer.
+func (c *Controller) listMissing(ctx context.Context, l *layout.Layout, slot int, missing *missingTurns) (unanswered int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for i, other := range l.Slots {
@@ -56,25 +57,25 @@
 			continue
 		}
 		wg.Go(func() {
-			err := c.list(ctx, l, slot, other.Disk, missing)
+			err := c.listFrom(ctx, l, slot, other.Disk, missing)
 			if err == nil {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			unheard++
-			c.log.WithFields(logrus.Fields{"event": "list-failed", "slot": slot, "from": other.Disk.Node, "error": err}).Warn("a disk did not tell what it has")
+			unanswered++
+			c.log.WithFields(logrus.Fields{"event": "list-failed", "slot": slot, "from": other.Disk.Node, "error": err}).Warn("disk did not list its turns")
 		})
 	}
 	wg.Wait()
-	return unheard
+	return unanswered
 }
 
-// list asks one disk.
-func (c *Controller) list(ctx context.Context, l *layout.Layout, slot int, from layout.Disk, missing *shortfall) error {
+// listFrom asks one disk for the list of its turns, page by page.
+func (c *Controller) listFrom(ctx context.Context, l *layout.Layout, slot int, from layout.Disk, missing *missingTurns) error {
 	args := ExportArgs{Layout: *l, Slot: slot, From: from.ID}
 	for {
-		reply, err := askPage[ExportReply](ctx, c.links, from, "Export", &args)
+		reply, err := callPage[ExportReply](ctx, c.links, from, "Export", &args)
 		if err != nil {
 			return err
 		}
@@ -89,15 +90,15 @@
 	}
 }
 
-// askPage makes one call of a copy.
-func askPage[Reply any](ctx context.Context, links *peerlink.Pool, from layout.Disk, method string, args any) (*Reply, error) {
+// callPage calls one method of a disk's service, bounded by pageTimeout.
+func callPage[Reply any](ctx context.Context, links *peerlink.Pool, from layout.Disk, method string, args any) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return peerlink.Call[Reply](ctx, links.LinkTo(from.Address), ServiceName+"."+method, args)
 }
 
-// copyMissing copies what is missing, from the nearest disks first, and returns how many records were new here.
-func (c *Controller) copyMissing(ctx context.Context, l *layout.Layout, missing *shortfall) (copied int, err error) {
+// copyMissing copies the missing records, from the nearest disks first, and returns how many were new here.
+func (c *Controller) copyMissing(ctx context.Context, l *layout.Layout, missing *missingTurns) (copied int, err error) {
 	var sources []layout.Disk
 	for _, disk := range l.Disks() {
 		if disk.ID != c.store.Self().ID {
@@ -105,27 +106,27 @@
 		}
 	}
 	slices.SortStableFunc(sources, func(a, b layout.Disk) int {
-		return int(c.place.DistanceTo(a.DataCentre)) - int(c.place.DistanceTo(b.DataCentre))
+		return int(c.topology.DistanceTo(a.DataCentre)) - int(c.topology.DistanceTo(b.DataCentre))
 	})
 	for _, from := range sources {
-		n, problem := c.pull(ctx, l, from, missing)
+		n, pullErr := c.pullFrom(ctx, l, from, missing)
 		copied += n
-		if problem != nil {
-			err = problem // another disk may have what this one did not give
+		if pullErr != nil {
+			err = pullErr // another disk may have the records
 		}
 	}
 	if missing.len() == 0 {
 		return copied, nil
 	}
-	return copied, Error.New("%d records of which others told were given by none: %w", missing.len(), err)
+	return copied, Error.New("%d listed records could not be copied from any disk: %w", missing.len(), err)
 }
 
-// pull copies what one disk has of what is missing. What it no longer has was kept for long enough.
-func (c *Controller) pull(ctx context.Context, l *layout.Layout, from layout.Disk, missing *shortfall) (copied int, err error) {
-	ids := missing.at(from)
+// pullFrom copies the missing records that one disk holds. A turn that the disk no longer holds has expired.
+func (c *Controller) pullFrom(ctx context.Context, l *layout.Layout, from layout.Disk, missing *missingTurns) (copied int, err error) {
+	ids := missing.heldBy(from)
 	for len(ids) > 0 {
-		args := PullArgs{Target: Target{Disk: from.ID, Epoch: l.Epoch}, IDs: ids[:min(pullIDs, len(ids))]}
-		reply, err := askPage[PullReply](ctx, c.links, from, "Pull", &args)
+		args := PullArgs{Target: Target{Disk: from.ID, Epoch: l.Epoch}, IDs: ids[:min(pullBatchTurns, len(ids))]}
+		reply, err := callPage[PullReply](ctx, c.links, from, "Pull", &args)
 		if err != nil {
 			return copied, err
 		}
@@ -143,32 +144,34 @@
 	return copied, nil
 }
 
-// shortfall is what this disk lacks of what others have. It is safe for concurrent use.
-type shortfall struct {
+// missingTurns are the turns that other disks hold and this one does not. It is safe for concurrent use.
+type missingTurns struct {
 	own *index
 
 	mu sync.Mutex
-	// turns has the latest state of each that is lacked, and who has it so.
-	turns map[string]lacked
+	// turns holds, by ID, the latest known state of each turn and the disks that hold it in that state.
+	turns map[string]missingTurn
 }
 
-type lacked struct {
+type missingTurn struct {
 	state   turn.State
 	holders []string
 }
 
-func newShortfall(own *index) *shortfall { return &shortfall{own: own, turns: map[string]lacked{}} }
+func newMissingTurns(own *index) *missingTurns {
+	return &missingTurns{own: own, turns: map[string]missingTurn{}}
+}
 
-// add notes what a disk has.
-func (s *shortfall) add(from layout.Disk, turns []TurnState) {
+// add records what a disk holds.
+func (s *missingTurns) add(from layout.Disk, turns []TurnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range turns {
 		known, there := s.turns[t.ID]
 		switch {
-		case s.own.has(t.ID, t.State):
+		case s.own.hasState(t.ID, t.State):
 		case !there || t.State > known.state:
-			s.turns[t.ID] = lacked{t.State, []string{from.ID}}
+			s.turns[t.ID] = missingTurn{t.State, []string{from.ID}}
 		case t.State == known.state:
 			known.holders = append(known.holders, from.ID)
 			s.turns[t.ID] = known
@@ -176,8 +179,8 @@
 	}
 }
 
-// at returns what is lacked that a disk has.
-func (s *shortfall) at(from layout.Disk) []string {
+// heldBy returns the IDs of the missing turns that a disk holds.
+func (s *missingTurns) heldBy(from layout.Disk) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []string
@@ -190,8 +193,8 @@
 	return ids
 }
 
-// remove notes that turns are lacked no more.
-func (s *shortfall) remove(ids []string) {
+// remove records that turns are no longer missing.
+func (s *missingTurns) remove(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, id := range ids {
@@ -199,32 +202,32 @@
 	}
 }
 
-func (s *shortfall) len() int {
+func (s *missingTurns) len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.turns)
 }
 
-// writeAll makes records durable with as few syncs as come, and returns how many were new here.
+// writeAll makes records durable, with as few syncs as possible, and returns how many were new here.
 func (s *Store) writeAll(records []turn.Record) (int, error) {
-	var tickets []turnlog.PendingAppend
+	var pending []turnlog.PendingAppend
 	var added []int
 	for i := range records {
-		if record := &records[i]; !s.index.has(record.ID, record.State) {
-			tickets = append(tickets, s.files.Append(record))
+		if record := &records[i]; !s.index.hasState(record.ID, record.State) {
+			pending = append(pending, s.files.Append(record))
 			added = append(added, i)
 		}
 	}
 	defer func() {
-		for _, ticket := range tickets {
-			ticket.Release()
+		for _, p := range pending {
+			p.Release()
 		}
 	}()
-	for k, ticket := range tickets {
-		if err := ticket.Wait(); err != nil {
+	for k, p := range pending {
+		if err := p.Wait(); err != nil {
 			return 0, err
 		}
-		s.index.add(&records[added[k]], ticket.Position, time.Now())
+		s.index.add(&records[added[k]], p.Position, time.Now())
 	}
-	return len(tickets), nil
+	return len(pending), nil
 }
--- a/internal/turns/turnlog/turnlog.go
+++ b/internal/turns/turnlog/turnlog.go
@@ -1,7 +1,7 @@
-// Package turnlog keeps turn records in files on a disk. Appends that come together share one sync.
+// Package turnlog stores turn records in segment files on a disk. Concurrent appends share one sync.
 //
-// A file is a row of frames: length and CRC-32 of the record as little-endian words, then the record. What
-// follows the first frame that does not check out was never acknowledged, and is passed over.
+// A segment is a sequence of frames: length and CRC-32 of the record as little-endian 32-bit words, then the record.
+// Data behind the first invalid frame was never acknowledged and is ignored.
 package turnlog
 
 import (
@@ -26,89 +26,89 @@
 var Error = errs.Class("turnlog")
 
 var (
-	// ErrClosed means that the log was closed.
+	// ErrClosed means that the log is closed.
 	ErrClosed = errors.New("turn log closed")
-	// ErrInUse means that a file takes appends, or holds some that are not settled.
-	ErrInUse = errors.New("turn file in use")
+	// ErrInUse means that a segment is the active one or holds appends that are not released.
+	ErrInUse = errors.New("turn segment in use")
 )
 
 const (
-	headerBytes = 8
-	// maxRecordBytes bounds a frame: a larger length is a torn write.
+	frameHeaderBytes = 8
+	// maxRecordBytes bounds the record of a frame. A larger length marks a torn write.
 	maxRecordBytes = 64 << 20
-	// segmentBytes is when a new file begins, so that old ones can be removed whole.
-	segmentBytes = 8 << 20
-	suffix       = ".turns"
+	// maxSegmentBytes is the size at which a new segment begins, so that old ones can be removed.
+	maxSegmentBytes = 8 << 20
+	segmentSuffix   = ".turns"
 )
 
-// Position is where a record lies.
+// Position is the location of a record.
 type Position struct {
 	Segment uint32
 	Offset  int64
 	Length  int
 }
 
-// Log is a set of files in one folder. Use Open.
+// Log is a set of segments in one directory. Use Open.
 type Log struct {
 	dir string
 
 	mu    sync.Mutex
 	files map[uint32]*os.File
-	// pending gathers the appends that come while the disk is busy. Its file is the active one; it is made when
-	// the first batch is written to it.
+	// pending collects appends while the disk is busy. Its segment is the active one; the file is created when the
+	// first batch is written to it.
 	pending *batch
-	// unsettled counts each file's appends whose caller has not yet said that it is done with them.
-	unsettled map[uint32]int
-	wake      chan struct{}
-	failed    error
-	closed    bool
-	bytes     int64
-	done      chan struct{}
-	pacer     pacer // of the committing goroutine
+	// unreleased counts, by segment, the appends that have not been released.
+	unreleased map[uint32]int
+	wake       chan struct{}
+	failed     error
+	closed     bool
+	bytes      int64
+	done       chan struct{}
+	pacer      pacer // updated by commitLoop only
 }
 
-// batch is the appends that wait for one sync, and where they go.
+// batch is a group of appends that share one write and one sync, with the location that they are written to.
 type batch struct {
 	segment uint32
 	offset  int64
 	data    []byte
-	ready   chan struct{}
+	synced  chan struct{}
 	err     error
 }
 
-// next returns the batch behind b: in the same file, or in the next one where that file is full.
-func (b *batch) next() *batch {
-	n := &batch{segment: b.segment, offset: b.offset + int64(len(b.data)), ready: make(chan struct{})}
-	if n.offset >= segmentBytes {
+// following returns the batch behind b: in the same segment, or in the next one where that is full.
+func (b *batch) following() *batch {
+	n := &batch{segment: b.segment, offset: b.offset + int64(len(b.data)), synced: make(chan struct{})}
+	if n.offset >= maxSegmentBytes {
 		n.segment, n.offset = b.segment+1, 0
 	}
 	return n
 }
 
-// Open reads the records of a folder, in the order of their writing, and begins a new file behind them. Files
-// without a record are removed.
+// Open replays the records of a directory in the order in which they were written, and begins a new segment behind
+// them. Segments without a record are removed.
 func Open(dir string, replay func(turn.Record, Position)) (*Log, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	l := &Log{dir: dir, files: map[uint32]*os.File{}, unsettled: map[uint32]int{}, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	numbers, err := segments(dir)
+	l := &Log{dir: dir, files: map[uint32]*os.File{}, unreleased: map[uint32]int{}, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	numbers, err := listSegments(dir)
 	if err != nil {
 		return nil, err
 	}
 	newest := uint32(0)
 	for _, number := range numbers {
-		if err := l.load(number, replay); err != nil {
+		if err := l.loadSegment(number, replay); err != nil {
 			return nil, err
 		}
 		newest = number
 	}
-	l.pending = &batch{segment: newest + 1, ready: make(chan struct{})}
-	go l.commit()
+	l.pending = &batch{segment: newest + 1, synced: make(chan struct{})}
+	go l.commitLoop()
 	return l, nil
 }
 
-func segments(dir string) ([]uint32, error) {
+func listSegments(dir string) ([]uint32, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -116,11 +116,11 @@
 	var numbers []uint32
 	for _, entry := range entries {
 		var number uint32
-		if filepath.Ext(entry.Name()) != suffix {
+		if filepath.Ext(entry.Name()) != segmentSuffix {
 			continue
 		}
 		if _, err := fmt.Sscanf(entry.Name(), "%08x", &number); err != nil {
-			return nil, Error.New("%s: not a name of a turn file", entry.Name())
+			return nil, Error.New("%s: not a segment file name", entry.Name())
 		}
 		numbers = append(numbers, number)
 	}
@@ -128,12 +128,12 @@
 	return numbers, nil
 }
 
-func (l *Log) path(segment uint32) string {
-	return filepath.Join(l.dir, fmt.Sprintf("%08x%s", segment, suffix))
+func (l *Log) segmentPath(segment uint32) string {
+	return filepath.Join(l.dir, fmt.Sprintf("%08x%s", segment, segmentSuffix))
 }
 
-func (l *Log) load(segment uint32, replay func(turn.Record, Position)) error {
-	file, err := os.Open(l.path(segment))
+func (l *Log) loadSegment(segment uint32, replay func(turn.Record, Position)) error {
+	file, err := os.Open(l.segmentPath(segment))
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -141,31 +141,32 @@
 	if err != nil {
 		return Error.Wrap(errors.Join(err, file.Close()))
 	}
-	if _, _, ok := frameAt(data); !ok {
-		return Error.Wrap(errors.Join(file.Close(), os.Remove(l.path(segment))))
+	if _, _, ok := decodeFrame(data); !ok {
+		return Error.Wrap(errors.Join(file.Close(), os.Remove(l.segmentPath(segment))))
 	}
 	l.files[segment] = file
 	l.bytes += int64(len(data))
 	for offset := 0; ; {
-		record, length, ok := frameAt(data[offset:])
+		record, length, ok := decodeFrame(data[offset:])
 		if !ok {
 			return nil
 		}
-		replay(record, Position{Segment: segment, Offset: int64(offset + headerBytes), Length: length})
-		offset += headerBytes + length
+		replay(record, Position{Segment: segment, Offset: int64(offset + frameHeaderBytes), Length: length})
+		offset += frameHeaderBytes + length
 	}
 }
 
-// frameAt decodes the frame at the start of data.
-func frameAt(data []byte) (turn.Record, int, bool) {
-	if len(data) < headerBytes {
+// decodeFrame decodes the frame at the start of data. It returns the record and its encoded length, or false if the
+// frame is invalid.
+func decodeFrame(data []byte) (turn.Record, int, bool) {
+	if len(data) < frameHeaderBytes {
 		return turn.Record{}, 0, false
 	}
 	length := int(binary.LittleEndian.Uint32(data))
-	if length == 0 || length > maxRecordBytes || length > len(data)-headerBytes {
+	if length == 0 || length > maxRecordBytes || length > len(data)-frameHeaderBytes {
 		return turn.Record{}, 0, false
 	}
-	body := data[headerBytes : headerBytes+length]
+	body := data[frameHeaderBytes : frameHeaderBytes+length]
 	if crc32.ChecksumIEEE(body) != binary.LittleEndian.Uint32(data[4:]) {
 		return turn.Record{}, 0, false
 	}
@@ -173,15 +174,16 @@
 	return record, length, err == nil
 }
 
-// file returns the file of a segment. A new one's name lasts once the folder is synced.
-func (l *Log) file(segment uint32) (*os.File, error) {
+// segmentFile returns the file of a segment, and creates it if it is missing. It syncs the directory, so that a new
+// file survives a power loss.
+func (l *Log) segmentFile(segment uint32) (*os.File, error) {
 	l.mu.Lock()
 	file := l.files[segment]
 	l.mu.Unlock()
 	if file != nil {
 		return file, nil
 	}
-	file, err := os.OpenFile(l.path(segment), os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o644)
+	file, err := os.OpenFile(l.segmentPath(segment), os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o644)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -194,45 +196,45 @@
 	return file, nil
 }
 
-// PendingAppend is an append that has its place and waits for the disk. Done must be called once its caller has taken
-// the place down, or given up.
+// PendingAppend is an append that has a position and may not be on the disk yet. The caller must call Release once it
+// has recorded the position or given up.
 type PendingAppend struct {
 	Position Position
 	log      *Log
 	batch    *batch
 }
 
-// Wait returns once the record is on the disk.
-func (t PendingAppend) Wait() error {
-	<-t.batch.ready
-	return t.batch.err
+// Wait blocks until the record is on the disk, or returns the error of the write.
+func (p PendingAppend) Wait() error {
+	<-p.batch.synced
+	return p.batch.err
 }
 
-// Release lets the record's file be removed: until then nobody else may know that the record is there.
-func (t PendingAppend) Release() {
-	t.log.mu.Lock()
-	defer t.log.mu.Unlock()
-	if t.log.unsettled[t.Position.Segment]--; t.log.unsettled[t.Position.Segment] <= 0 {
-		delete(t.log.unsettled, t.Position.Segment)
+// Release allows the record's segment to be removed. Until then the record may not be in the caller's index.
+func (p PendingAppend) Release() {
+	p.log.mu.Lock()
+	defer p.log.mu.Unlock()
+	if p.log.unreleased[p.Position.Segment]--; p.log.unreleased[p.Position.Segment] <= 0 {
+		delete(p.log.unreleased, p.Position.Segment)
 	}
 }
 
-// Append gives a record its place. It is durable once the ticket's Wait returns nil.
+// Append assigns a position to a record. The record is durable once Wait returns nil.
 func (l *Log) Append(record *turn.Record) PendingAppend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.pending
-	l.unsettled[b.segment]++
+	l.unreleased[b.segment]++
 	if l.closed {
 		return PendingAppend{Position: Position{Segment: b.segment}, log: l, batch: b}
 	}
 	start := len(b.data)
-	b.data = append(b.data, make([]byte, headerBytes)...)
+	b.data = append(b.data, make([]byte, frameHeaderBytes)...)
 	b.data = record.Append(b.data)
-	body := b.data[start+headerBytes:]
+	body := b.data[start+frameHeaderBytes:]
 	binary.LittleEndian.PutUint32(b.data[start:], uint32(len(body)))
 	binary.LittleEndian.PutUint32(b.data[start+4:], crc32.ChecksumIEEE(body))
-	position := Position{Segment: b.segment, Offset: b.offset + int64(start) + headerBytes, Length: len(body)}
+	position := Position{Segment: b.segment, Offset: b.offset + int64(start) + frameHeaderBytes, Length: len(body)}
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -240,36 +242,36 @@
 	return PendingAppend{Position: position, log: l, batch: b}
 }
 
-// commit writes what is pending, again and again. After a failure nothing more is taken: what the disk holds is
-// then unknown until the next start.
-func (l *Log) commit() {
+// commitLoop writes pending batches. After a failed write all later appends fail: what the disk holds is unknown until
+// the log is opened again.
+func (l *Log) commitLoop() {
 	defer close(l.done)
 	for range l.wake {
-		time.Sleep(l.pacer.pause(time.Now()))
+		time.Sleep(l.pacer.delay(time.Now()))
 		l.mu.Lock()
 		b := l.pending
-		l.pending = b.next() // appends from here on lie behind this batch
+		l.pending = b.following() // later appends go to the next batch
 		l.bytes += int64(len(b.data))
 		b.err = l.failed
 		l.mu.Unlock()
 		if b.err == nil && len(b.data) > 0 {
 			began := time.Now()
-			b.err = l.write(b)
-			l.pacer.synced(began, time.Now())
+			b.err = l.writeBatch(b)
+			l.pacer.recordSync(began, time.Now())
 		}
 		l.mu.Lock()
 		l.failed = b.err
 		l.mu.Unlock()
-		close(b.ready)
+		close(b.synced)
 	}
 	l.mu.Lock()
 	l.pending.err = ErrClosed
-	close(l.pending.ready)
+	close(l.pending.synced)
 	l.mu.Unlock()
 }
 
-func (l *Log) write(b *batch) error {
-	file, err := l.file(b.segment)
+func (l *Log) writeBatch(b *batch) error {
+	file, err := l.segmentFile(b.segment)
 	if err != nil {
 		return err
 	}
@@ -294,30 +296,30 @@
 	return turn.Decode(body)
 }
 
-// Bytes returns the size of all files.
+// Bytes returns the total size of all segments.
 func (l *Log) Bytes() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
 }
 
-// Syncs returns how often the disk was synced, and the time that it took in all.
+// Syncs returns the number of syncs and their total duration.
 func (l *Log) Syncs() (n int64, busy time.Duration) {
-	return l.pacer.syncs.Load(), time.Duration(l.pacer.busy.Load())
+	return l.pacer.syncCount.Load(), time.Duration(l.pacer.syncNanos.Load())
 }
 
-// ActiveSegment returns the file that appends go to.
+// ActiveSegment returns the number of the segment that appends go to.
 func (l *Log) ActiveSegment() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.pending.segment
 }
 
-// RemoveSegment deletes a file. ErrInUse means that it can't be removed now.
+// RemoveSegment deletes a segment. It returns ErrInUse for the active segment and for one with unreleased appends.
 func (l *Log) RemoveSegment(segment uint32) error {
 	l.mu.Lock()
 	file := l.files[segment]
-	if segment == l.pending.segment || l.unsettled[segment] > 0 {
+	if segment == l.pending.segment || l.unreleased[segment] > 0 {
 		l.mu.Unlock()
 		return ErrInUse
 	}
@@ -330,10 +332,10 @@
 		l.bytes -= info.Size()
 	}
 	l.mu.Unlock()
-	return Error.Wrap(errors.Join(file.Close(), os.Remove(l.path(segment))))
+	return Error.Wrap(errors.Join(file.Close(), os.Remove(l.segmentPath(segment))))
 }
 
-// Close ends the log. Appends that still wait fail. Closing again does nothing.
+// Close stops the log and closes its files. Later appends fail with ErrClosed. Calling Close again does nothing.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
