--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) {
 	testbubble.Prepare()
-	// The first use of signals starts a goroutine for the whole process, which must not be in a bubble.
+	// The first use of signals starts a goroutine of the process, which must be outside of synctest bubbles.
 	alive := make(chan os.Signal, 1)
 	signal.Notify(alive, syscall.SIGHUP)
 	signal.Stop(alive)
@@ -36,88 +36,91 @@
 }
 
 const (
-	worldFronts  = 3
-	worldStores  = 4
-	worldServers = 6
-	storeHost    = "platform"
-	storeAddress = storeHost + ":1"
+	defaultFronts = 3
+	defaultStores = 4
+	serverCount   = 6
+	storeHost     = "platform"
+	storeAddress  = storeHost + ":1"
 )
 
-// world is a whole system in virtual time: daemons as they are in production, between stand-ins, on a network
-// in memory.
-type world struct {
+// cluster is a whole system in virtual time: the daemons as in production, with stand-ins for the platform, servers and
+// callers, on a network in memory.
+type cluster struct {
 	t        *testing.T
 	fabric   *memnet.Fabric
 	platform *platformtest.Store
 	checker  *workload.Checker
 	servers  []*workload.Server
-	fronts   []*member
-	stores   []*member
+	fronts   []*vm
+	stores   []*vm
 	dir      string
 	seeds    []string
 	ended    sync.WaitGroup
 
-	// withdrawal is within which a withdrawn key must be refused everywhere; 0 where that is not asked.
-	withdrawal time.Duration
-	// evacuation is within which nothing more may go to an evacuated data centre; 0 where none ever is.
-	evacuation time.Duration
-	// output takes the daemons' log lines; nil for nobody.
+	// maxRevocationDelay is the time within which a revoked key must be refused everywhere; 0 for no limit.
+	maxRevocationDelay time.Duration
+	// maxEvacuationDelay is the time within which requests to an evacuated data centre must end; 0 if there are no
+	// evacuations.
+	maxEvacuationDelay time.Duration
+	// output receives the daemons' log; nil for the default.
 	output io.Writer
 
 	mu      sync.Mutex
 	version int64
-	// organisations are those of the configuration.
+	// organisations are those of the current configuration.
 	organisations []platformtest.Organisation
 }
 
-// member is a VM and the daemon's present life on it.
-type member struct {
+// vm is a VM and the daemon that runs on it.
+type vm struct {
 	name, ip, role, dataCentre string
-	lives, disks               int
-	// host is the name of the present life on the network.
+	starts, diskGeneration     int
+	// host is the name of the running daemon on the network; each start gets another one.
 	host string
 	stop context.CancelFunc
 	done chan struct{}
 }
 
-func (m *member) callers() string { return m.ip + ":8149" }
+func (m *vm) callerAddress() string { return m.ip + ":8149" }
 
-func newWorld(t *testing.T) *world { return newWorldOf(t, worldFronts, worldStores) }
+func newCluster(t *testing.T) *cluster { return newClusterOf(t, defaultFronts, defaultStores) }
 
-// newWorldOf returns a world with so many VMs of each kind, spread over three data centres.
-func newWorldOf(t *testing.T, fronts, stores int) *world { return newStrictWorld(t, fronts, stores, 0) }
+// newClusterOf returns a cluster with the given numbers of VMs, spread over three data centres.
+func newClusterOf(t *testing.T, fronts, stores int) *cluster {
+	return newRevocationCluster(t, fronts, stores, 0)
+}
 
-// newLoggedWorld returns one whose daemons' log lines are kept.
-func newLoggedWorld(t *testing.T, lines io.Writer) *world {
-	return newWorldWith(t, worldFronts, worldStores, &world{output: lines})
+// newLoggedCluster returns a cluster that writes the daemons' log to lines.
+func newLoggedCluster(t *testing.T, lines io.Writer) *cluster {
+	return newClusterWith(t, defaultFronts, defaultStores, &cluster{output: lines})
 }
 
-// newStrictWorld returns one in which a withdrawn key must be refused everywhere after a time.
-func newStrictWorld(t *testing.T, fronts, stores int, withdrawal time.Duration) *world {
-	return newWorldWith(t, fronts, stores, &world{withdrawal: withdrawal})
+// newRevocationCluster returns a cluster in which a revoked key must be refused within maxRevocationDelay.
+func newRevocationCluster(t *testing.T, fronts, stores int, maxRevocationDelay time.Duration) *cluster {
+	return newClusterWith(t, fronts, stores, &cluster{maxRevocationDelay: maxRevocationDelay})
 }
 
-// newWorldWith fills in a world of which some choices are made.
-func newWorldWith(t *testing.T, fronts, stores int, w *world) *world {
+// newClusterWith completes a cluster in which some fields are set, and starts it.
+func newClusterWith(t *testing.T, fronts, stores int, w *cluster) *cluster {
 	w.t, w.fabric, w.platform, w.checker, w.dir = t, memnet.New(), platformtest.NewStore(), workload.NewChecker(), t.TempDir()
 	w.organisations = workload.Organisations()
 	w.serve(storeHost, storeAddress, w.platform)
-	for i := range worldServers {
+	for i := range serverCount {
 		address := fmt.Sprintf("server-%d:1", i)
 		s := workload.NewServer(i, address, w.checker)
 		w.servers = append(w.servers, s)
 		w.serveWith(fmt.Sprint("server-", i), address, &http.Server{Handler: s, ConnContext: s.ConnContext})
 		w.platform.SetServer(s.Entry())
 	}
-	w.configure()
+	w.publishConfig()
 	for i := range stores {
 		w.seeds = append(w.seeds, fmt.Sprintf("10.1.0.%d:8144", i+1))
-		w.stores = append(w.stores, &member{name: fmt.Sprint("store-", i), ip: fmt.Sprint("10.1.0.", i+1), role: "store", dataCentre: fmt.Sprint("dc", i%3)})
+		w.stores = append(w.stores, &vm{name: fmt.Sprint("store-", i), ip: fmt.Sprint("10.1.0.", i+1), role: "store", dataCentre: fmt.Sprint("dc", i%3)})
 	}
 	for i := range fronts {
-		w.fronts = append(w.fronts, &member{name: fmt.Sprint("front-", i), ip: fmt.Sprint("10.0.0.", i+1), role: "front", dataCentre: fmt.Sprint("dc", i%3)})
+		w.fronts = append(w.fronts, &vm{name: fmt.Sprint("front-", i), ip: fmt.Sprint("10.0.0.", i+1), role: "front", dataCentre: fmt.Sprint("dc", i%3)})
 	}
-	for _, m := range w.members() {
+	for _, m := range w.vms() {
 		w.start(m, true)
 	}
 	t.Cleanup(w.close)
@@ -125,22 +128,22 @@
 	return w
 }
 
-func (w *world) members() []*member { return append(append([]*member(nil), w.stores...), w.fronts...) }
+func (w *cluster) vms() []*vm { return append(append([]*vm(nil), w.stores...), w.fronts...) }
 
 // serve answers at an address of a host until the test ends.
-func (w *world) serve(host, address string, handler http.Handler) {
+func (w *cluster) serve(host, address string, handler http.Handler) {
 	w.serveWith(host, address, &http.Server{Handler: handler})
 }
 
-func (w *world) serveWith(host, address string, server *http.Server) {
+func (w *cluster) serveWith(host, address string, server *http.Server) {
 	listener, err := w.fabric.Listen(host, address)
 	assert.NilError(w.t, err)
 	go func() { _ = server.Serve(listener) }()
 	w.t.Cleanup(func() { _ = server.Close() })
 }
 
-// configure puts the next version in force and returns it.
-func (w *world) configure() int64 {
+// publishConfig publishes the next version of the configuration and returns it.
+func (w *cluster) publishConfig() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.version++
@@ -148,27 +151,27 @@
 	return w.version
 }
 
-func (w *world) newest() int64 {
+func (w *cluster) newestVersion() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.version
 }
 
-// start begins a life of a daemon on what its disk holds.
-func (w *world) start(m *member, first bool) {
-	m.lives++
-	m.host = fmt.Sprintf("%s/%d", m.name, m.lives)
+// start starts a daemon on its VM's disk. first tells that the system starts for the first time.
+func (w *cluster) start(m *vm, first bool) {
+	m.starts++
+	m.host = fmt.Sprintf("%s/%d", m.name, m.starts)
 	settings := platform.Settings{
 		Node: m.name, IP: m.ip, DataCentre: m.dataCentre, FirstStart: first, Seeds: w.seeds[:3],
 		FirstPort: 7380, MemoryBytes: 16 << 30, MaxDescriptors: 4096, ToleratedDiskFailures: 1,
 		StoreAddress: storeAddress, StopGrace: 8 * time.Second, Heartbeat: 1200 * time.Millisecond,
-		MaxRevocationDelay: w.withdrawal, MaxConfigDelay: inForce, MaxEvacuationDelay: w.evacuation, Quota: quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
+		MaxRevocationDelay: w.maxRevocationDelay, MaxConfigDelay: configDeadline, MaxEvacuationDelay: w.maxEvacuationDelay, Quota: quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
 	}
 	if m.role == "front" {
-		settings.CallerAddress, settings.ReadyAddress = m.callers(), m.ip+":8141"
+		settings.CallerAddress, settings.ReadyAddress = m.callerAddress(), m.ip+":8141"
 	} else {
 		settings.ControlAddress = m.ip + ":8144"
-		settings.DataDir = filepath.Join(w.dir, fmt.Sprint(m.name, ".", m.disks))
+		settings.DataDir = filepath.Join(w.dir, fmt.Sprint(m.name, ".", m.diskGeneration))
 	}
 	name := m.host
 	b, err := newBase(host{
@@ -177,7 +180,7 @@
 			return w.fabric.Dial(ctx, name, address)
 		},
 		load:   func() (platform.Settings, error) { return settings, nil },
-		output: w.log(),
+		output: w.logOutput(),
 	}, settings, "info", m.role)
 	assert.NilError(w.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -190,11 +193,11 @@
 		} else {
 			err = b.runStore(ctx)
 		}
-		b.stopped("test", ignoreEnd(err))
+		b.logStop("test", ignoreCanceled(err))
 	})
 }
 
-// lockedBuffer keeps what several daemons write.
+// lockedBuffer is a buffer that several daemons may write to.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -212,8 +215,8 @@
 	return b.text.String()
 }
 
-// log takes the daemons' lines where a developer asks for them.
-func (w *world) log() io.Writer {
+// logOutput returns where daemons log: output if set, else standard error if ROOKPASS_TEST_LOG is set.
+func (w *cluster) logOutput() io.Writer {
 	if w.output != nil {
 		return w.output
 	}
@@ -224,26 +227,26 @@
 }
 
 // kill ends a daemon's process at once.
-func (w *world) kill(m *member) {
+func (w *cluster) kill(m *vm) {
 	w.fabric.Kill(m.host)
 	m.stop()
 	if m.role == "store" {
-		<-m.done // what it still does to its disk must not meet the next life
+		<-m.done // it must not write to the disk of its next start
 	}
 }
 
-// restart kills a daemon, and starts it again after a time; lost tells that its disk comes back empty.
-func (w *world) restart(m *member, after time.Duration, lost bool) {
+// restart kills a daemon and starts it again after a time; lost tells that its disk comes back empty.
+func (w *cluster) restart(m *vm, after time.Duration, lost bool) {
 	w.kill(m)
 	time.Sleep(after)
 	if lost {
-		m.disks++
+		m.diskGeneration++
 	}
 	w.start(m, false)
 }
 
-// cut separates a daemon from some hosts for a time.
-func (w *world) cut(m *member, hosts []string, d time.Duration) {
+// cut disconnects a daemon from some hosts for a time.
+func (w *cluster) cut(m *vm, hosts []string, d time.Duration) {
 	for _, h := range hosts {
 		w.fabric.Partition(m.host, h)
 	}
@@ -253,7 +256,7 @@
 	}
 }
 
-func hosts(members []*member) []string {
+func hostNames(members []*vm) []string {
 	var names []string
 	for _, m := range members {
 		names = append(names, m.host)
@@ -261,23 +264,23 @@
 	return names
 }
 
-// caller returns a caller of all fronts.
-func (w *world) caller(seed uint64) *workload.Caller {
+// caller returns a caller that knows all fronts.
+func (w *cluster) caller(seed uint64) *workload.Caller {
 	var addresses []string
 	for _, m := range w.fronts {
-		addresses = append(addresses, m.callers())
+		addresses = append(addresses, m.callerAddress())
 	}
 	c := workload.NewCaller(addresses, w.checker, seed, w.dial)
 	w.t.Cleanup(c.Close)
 	return c
 }
 
-func (w *world) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (w *cluster) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	return w.fabric.Dial(ctx, "callers", address)
 }
 
-// awaitReady waits until every front says that it is ready.
-func (w *world) awaitReady() {
+// awaitReady waits until every front reports that it is ready.
+func (w *cluster) awaitReady() {
 	transport := &http.Transport{DialContext: w.dial, DisableKeepAlives: true}
 	client := &http.Client{Transport: transport, Timeout: time.Second}
 	for _, m := range w.fronts {
@@ -291,15 +294,15 @@
 		}
 		for tries := 0; !ready(); tries++ {
 			if tries == 400 {
-				w.t.Fatal(m.name + " is not ready after " + strconv.Itoa(tries) + " questions")
+				w.t.Fatal(m.name + " is not ready after " + strconv.Itoa(tries) + " requests")
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-func (w *world) close() {
-	for _, m := range w.members() {
+func (w *cluster) close() {
+	for _, m := range w.vms() {
 		w.kill(m)
 	}
 	w.ended.Wait()
--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger reads and writes the kept turns and the token budgets of programs on the disks of the
-// layout. Any daemon may do so for any program: records never change, and any two quorums share a disk.
+// Package ledger reads and writes the turns and token budgets of programs on the disks of the layout. Any daemon may do
+// so for any program: records are immutable, and any two quorums share a disk.
 package ledger
 
 import (
@@ -21,51 +21,52 @@
 )
 
 var (
-	// ErrTurnNotFound means that no such turn is kept. It is certain.
+	// ErrTurnNotFound means that the turn does not exist: an absence quorum of disks does not hold it.
 	ErrTurnNotFound = errors.New("no such turn")
-	// ErrUnavailable means that too few disks answered to know.
+	// ErrUnavailable means that too few disks answered.
 	ErrUnavailable = errors.New("too few disks answered")
-	// ErrBudgetExceeded means that the turn might not fit into what is left of the program's budget.
-	ErrBudgetExceeded = errors.New("token budget spent")
+	// ErrBudgetExceeded means that the turn might not fit into the rest of the program's budget.
+	ErrBudgetExceeded = errors.New("token budget exceeded")
 )
 
 const (
-	// callTimeout bounds one call to a disk. A quorum gathered within it can't hold an acknowledgement of a
-	// disk that was lost and has already been copied anew: a VM takes longer to start.
+	// callTimeout bounds one call to a disk. It is shorter than the start of a VM, so that a quorum can't include an
+	// acknowledgement of a disk that was lost and has already been refilled.
 	callTimeout = time.Second
-	// retryPause is the time between two tries to reach a quorum; each asks every disk of the group.
-	retryPause = 60 * time.Millisecond
-	// allGrace is how much longer than for a quorum a reservation waits for the other disks: asking again
-	// takes a trip to another data centre and back, 3 ms.
-	allGrace = 5 * time.Millisecond
-	// spareDelay is when a whole turn's record goes to the disks that were spared: many times a usual answer, also of another
-	// region's disk. Sooner, disks that are busy would get more to do for it.
-	spareDelay = 100 * time.Millisecond
-	// spareMemory is for how long a disk that has not answered is asked after all others.
-	spareMemory = 3 * time.Second
-	// hedgeDelay is when a fetch asks the other disks too: ten times a usual answer of the nearest.
+	// retryInterval is the time between two attempts to reach a quorum; each asks every disk of the group.
+	retryInterval = 60 * time.Millisecond
+	// fullGroupGrace is how much longer than for a quorum a reservation waits for the other disks. If they all answer,
+	// it saves a second round of calls.
+	fullGroupGrace = 5 * time.Millisecond
+	// fallbackDelay is how long the nearest disks may take to acknowledge a finished turn before it is sent to the rest
+	// of the group. It is far above a usual answer, so that busy disks do not get more work.
+	fallbackDelay = 100 * time.Millisecond
+	// failureMemory is for how long a disk that has not answered is asked after all others.
+	failureMemory = 3 * time.Second
+	// hedgeDelay is how long a fetch waits for an answer before it asks the next disk as well.
 	hedgeDelay = 20 * time.Millisecond
 )
 
-// Ledger talks to the disks. Use New.
+// Ledger reads and writes turns on the disks of the layout. Use New.
 type Ledger struct {
-	links  *peerlink.Pool
-	log    logrus.FieldLogger
-	place  place.Topology
-	layout atomic.Pointer[layout.Layout]
-	cache  *cache
-	// failed has when a disk, by its ID, last did not answer.
-	failed sync.Map
-	// background are the writes that go on after their quorum.
+	links    *peerlink.Pool
+	log      logrus.FieldLogger
+	topology place.Topology
+	layout   atomic.Pointer[layout.Layout]
+	cache    *turnCache
+	// lastFailure holds, by the ID of a disk, when it last did not answer.
+	lastFailure sync.Map
+	// background tracks the calls that go on in the background.
 	background sync.WaitGroup
 }
 
-// New returns a ledger of a daemon at a place. cacheBytes bounds the turns kept in memory.
-func New(links *peerlink.Pool, at place.Topology, cacheBytes int, log logrus.FieldLogger) *Ledger {
-	return &Ledger{links: links, place: at, cache: newCache(cacheBytes), log: log}
+// New returns the ledger of a daemon. topology tells how far the disks are away; cacheBytes bounds the turns kept in
+// memory.
+func New(links *peerlink.Pool, topology place.Topology, cacheBytes int, log logrus.FieldLogger) *Ledger {
+	return &Ledger{links: links, topology: topology, cache: newTurnCache(cacheBytes), log: log}
 }
 
-// UpdateLayout takes a layout over if it is newer than the one in use.
+// UpdateLayout replaces the layout if next is newer.
 func (l *Ledger) UpdateLayout(next *layout.Layout) {
 	for {
 		current := l.layout.Load()
@@ -74,7 +75,7 @@
 		}
 		if l.layout.CompareAndSwap(current, next) {
 			l.log.WithFields(logrus.Fields{"event": "layout", "epoch": next.Epoch,
-				"slots": len(next.Slots)}).Info("layout in force")
+				"slots": len(next.Slots)}).Info("layout updated")
 			return
 		}
 	}
@@ -83,61 +84,60 @@
 // Layout returns the layout in use, or nil.
 func (l *Ledger) Layout() *layout.Layout { return l.layout.Load() }
 
-// Ready tells whether turns can be kept.
+// Ready reports whether a layout is known, so that turns can be stored.
 func (l *Ledger) Ready() bool {
 	return l.layout.Load() != nil
 }
 
-// Reserve makes durable that a turn may generate up to record.Tokens, and tells whether that fits into the
-// budget beside all that the program's other turns have generated or reserved. ErrBudget and ErrUnsure mean
-// that the turn must not run; Settle then takes the reservation back.
+// Reserve durably records that a turn may generate up to record.Tokens, and checks that this fits into the budget
+// beside all that the program's other turns have generated or reserved. After ErrBudgetExceeded or ErrUnavailable the
+// turn must not run, and the caller must take the reservation back with Settle.
 //
-// Of turns that reserve at the same moment, one must see all others. Where every disk of the group has
-// answered, the one that came last to any one disk does. Where only a quorum has, two that meet on one disk
-// each may miss a third, so the disks are asked again once the reservation is durable: the one whose
-// reservation became durable last then sees all.
+// Of concurrent reservations, one must see all others. Where every disk of the group has answered, the one that came
+// last to any disk does. Where only a quorum has, two that share one disk may each miss a third, so the disks are asked
+// again once the reservation is durable: the one that became durable last then sees all.
 func (l *Ledger) Reserve(ctx context.Context, record *turn.Record, budget int64) (ProgramUsage, error) {
 	r, err := l.write(ctx, record, true)
 	if err != nil {
 		return ProgramUsage{}, err
 	}
-	if !r.all() {
-		again, err := l.write(ctx, record, true)
+	if !r.complete() {
+		second, err := l.write(ctx, record, true)
 		if err != nil {
 			return ProgramUsage{}, err
 		}
-		for _, e := range again.known {
-			merge(r.known, e)
+		for _, e := range second.turns {
+			mergeEntry(r.turns, e)
 		}
 	}
-	account := ProgramUsage{CachedPrompts: r.places, TimeBudget: r.aim, Turns: len(r.known)}
-	if _, known := r.known[record.ID]; known {
-		account.Turns--
+	usage := ProgramUsage{CachedPrompts: r.cachedPrompts, TimeBudget: r.timeBudget, Turns: len(r.turns)}
+	if _, known := r.turns[record.ID]; known {
+		usage.Turns--
 	}
-	for id, e := range r.known {
+	for id, e := range r.turns {
 		if id != record.ID {
-			account.Spent += e.Tokens
+			usage.Spent += e.Tokens
 		}
 	}
-	if account.Spent+record.Tokens > budget {
-		return account, ErrBudgetExceeded
+	if usage.Spent+record.Tokens > budget {
+		return usage, ErrBudgetExceeded
 	}
-	return account, nil
+	return usage, nil
 }
 
 // ProgramUsage is what the disks know of a program.
 type ProgramUsage struct {
-	// Spent are the tokens of its other turns, those reserved among them.
+	// Spent is the number of tokens that its other turns have generated or reserved.
 	Spent int64
-	// CachedPrompts are where its prompts are in cache, as the nearest disk knows them; none where that did not answer.
+	// CachedPrompts are its prompts in servers' caches, as the nearest disk knows them; empty if that did not answer.
 	CachedPrompts []turn.CachedPrompt
-	// TimeBudget is the time that it was given; 0 where that was not said, or where the nearest disk did not answer.
+	// TimeBudget is the time that the program was given; 0 if none was, or if the nearest disk did not answer.
 	TimeBudget time.Duration
-	// Turns is how many other turns of it the disks know of.
+	// Turns is the number of its other turns.
 	Turns int
 }
 
-// Finish makes a whole turn durable.
+// Finish makes a finished turn durable.
 func (l *Ledger) Finish(ctx context.Context, record *turn.Record) error {
 	if _, err := l.write(ctx, record, false); err != nil {
 		return err
@@ -146,202 +146,202 @@
 	return nil
 }
 
-// Settle lowers what a reserved turn counts: to nothing where no server has run it nor will, or to what it
-// generated. It is tried for a while beside the caller's work: a reservation that stays only counts too much.
+// Settle lowers the charge of a reserved turn: to nothing where no server has run it nor will, or to what it generated.
+// It tries for 2 x callTimeout in the background. A reservation that is not settled only overstates the usage.
 func (l *Ledger) Settle(record *turn.Record) {
 	l.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*callTimeout)
 		defer cancel()
 		if _, err := l.write(ctx, record, false); err != nil {
-			l.log.WithFields(logrus.Fields{"event": "settle-failed", "turn": record.ID, "state": record.State.String(), "error": err}).Warn("reservation stays")
+			l.log.WithFields(logrus.Fields{"event": "settle-failed", "turn": record.ID, "state": record.State.String(), "error": err}).Warn("reservation not settled")
 		}
 	})
 }
 
-// Flush waits for the writes that still go on, until ctx ends.
+// Flush waits for background writes, until ctx ends.
 func (l *Ledger) Flush(ctx context.Context) error { return wait.Group(ctx, &l.background) }
 
-// write sends a record to the disks of its group until a quorum has it. With account the answers tell what the
-// disks know of the program.
-func (l *Ledger) write(ctx context.Context, record *turn.Record, account bool) (*round, error) {
+// write sends a record to the disks of its group, again and again until a quorum has it or ctx ends. With wantUsage the
+// disks also return what they know of the program.
+func (l *Ledger) write(ctx context.Context, record *turn.Record, wantUsage bool) (*writeRound, error) {
 	var lastErr error
 	for ctx.Err() == nil {
 		current := l.layout.Load()
 		if current == nil {
 			return nil, ErrUnavailable
 		}
-		round := l.send(ctx, current, record, account)
-		err := round.gather(ctx, l, account)
+		r := l.send(ctx, current, record, wantUsage)
+		err := r.collect(ctx, l, wantUsage)
 		if err == nil {
-			return round, nil
+			return r, nil
 		}
 		lastErr = err
 		if l.layout.Load() == current {
-			_ = wait.For(ctx, retryPause)
+			_ = wait.For(ctx, retryInterval)
 		}
 	}
 	return nil, errors.Join(ErrUnavailable, lastErr)
 }
 
-// ack is one disk's answer to a write.
-type ack struct {
+// writeResult is one disk's answer to a write.
+type writeResult struct {
 	slot  int
 	reply *replica.WriteReply
 	err   error
 }
 
-// round is one asking of the disks of a group.
-type round struct {
-	answers chan ack
+// writeRound is one attempt to write a record to the disks of a group.
+type writeRound struct {
+	results chan writeResult
 	sent    int
-	// spared asks the disks that were left out at first; nil where there are none.
-	spared func()
-	// open counts, for each slot, the disks that have not yet said that they hold the record: two while
-	// another disk takes the slot over.
-	open   map[int]int
-	held   int
-	quorum int
-	known  map[string]replica.BudgetEntry
-	places []turn.CachedPrompt
-	aim    time.Duration
+	// fallback writes to the disks that were left out at first; nil if there are none.
+	fallback func()
+	// unacknowledged counts, by slot, the disks that have not yet acknowledged the record: two while another disk takes
+	// the slot over.
+	unacknowledged map[int]int
+	acknowledged   int
+	quorum         int
+	turns          map[string]replica.BudgetEntry
+	cachedPrompts  []turn.CachedPrompt
+	timeBudget     time.Duration
 }
 
-func (r *round) all() bool { return r.held == len(r.open) }
+func (r *writeRound) complete() bool { return r.acknowledged == len(r.unacknowledged) }
 
-// send asks the disks of the record's group. A whole turn's record goes to the nearest quorum of them alone, and to the rest
-// only where those do not all answer soon: it holds all that was said, and its way may be long. All else goes to each. The
-// calls go on after the round has been left.
-func (l *Ledger) send(ctx context.Context, current *layout.Layout, record *turn.Record, account bool) *round {
-	group := l.nearestFirst(current, current.Group(record.Program))
-	r := &round{answers: make(chan ack, 2*len(group)), open: map[int]int{}, quorum: current.Quorum(), known: map[string]replica.BudgetEntry{}}
-	ask := func(slot int, disk layout.Disk) {
+// send starts writing a record to the disks of its group. A finished turn holds the whole input and output, so it goes
+// to the nearest quorum only, and to the rest if those do not all answer within fallbackDelay; other records go to all
+// disks. The calls continue after the round is left.
+func (l *Ledger) send(ctx context.Context, current *layout.Layout, record *turn.Record, wantUsage bool) *writeRound {
+	group := l.sortNearestFirst(current, current.Group(record.Program))
+	r := &writeRound{results: make(chan writeResult, 2*len(group)), unacknowledged: map[int]int{}, quorum: current.Quorum(), turns: map[string]replica.BudgetEntry{}}
+	startWrite := func(slot int, disk layout.Disk) {
 		r.sent++
-		r.open[slot]++
+		r.unacknowledged[slot]++
 		args := &replica.WriteArgs{Target: replica.Target{Disk: disk.ID, Epoch: current.Epoch}, Record: *record,
-			Entries: account, Places: account && slot == group[0]}
+			Entries: wantUsage, Places: wantUsage && slot == group[0]}
 		l.background.Go(func() {
 			callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 			defer cancel()
-			a := ack{slot: slot}
-			a.reply, a.err = peerlink.Call[replica.WriteReply](callCtx, l.links.LinkTo(disk.Address), replica.ServiceName+".Write", args)
-			l.noteAnswer(disk.ID, a.err)
-			r.answers <- a
+			result := writeResult{slot: slot}
+			result.reply, result.err = peerlink.Call[replica.WriteReply](callCtx, l.links.LinkTo(disk.Address), replica.ServiceName+".Write", args)
+			l.recordCallResult(disk.ID, result.err)
+			r.results <- result
 		})
 	}
-	askAll := func(slots []int) {
+	startWrites := func(slots []int) {
 		for _, slot := range slots {
-			place := current.Slots[slot]
-			ask(slot, place.Disk)
-			if place.Joining != nil {
-				ask(slot, *place.Joining)
+			assignment := current.Slots[slot]
+			startWrite(slot, assignment.Disk)
+			if assignment.Joining != nil {
+				startWrite(slot, *assignment.Joining)
 			}
 		}
 	}
-	// A slot that is leaving counts for nothing, so it is asked for nothing.
+	// Leaving slots count towards no quorum.
 	group = slices.DeleteFunc(group, func(slot int) bool { return current.Slots[slot].Leaving })
 	first := len(group)
 	if record.State == turn.Finished {
 		first = min(first, current.Quorum())
-		l.silentLast(current, group)
+		l.sortFailedLast(current, group)
 	}
-	askAll(group[:first])
+	startWrites(group[:first])
 	if rest := group[first:]; len(rest) > 0 {
-		r.spared = func() { askAll(rest) }
+		r.fallback = func() { startWrites(rest) }
 	}
 	return r
 }
 
-// noteAnswer remembers whether a disk has answered.
-func (l *Ledger) noteAnswer(disk string, err error) {
+// recordCallResult notes whether a disk has answered.
+func (l *Ledger) recordCallResult(disk string, err error) {
 	if err != nil {
-		l.failed.Store(disk, time.Now())
+		l.lastFailure.Store(disk, time.Now())
 	} else {
-		l.failed.Delete(disk)
+		l.lastFailure.Delete(disk)
 	}
 }
 
-// silentLast puts the slots last whose disks have not answered of late.
-func (l *Ledger) silentLast(current *layout.Layout, group []int) {
-	silent := func(slot int) int {
-		at, failed := l.failed.Load(current.Slots[slot].Disk.ID)
-		if failed && time.Since(at.(time.Time)) < spareMemory {
+// sortFailedLast moves the slots to the end whose disks failed to answer within failureMemory.
+func (l *Ledger) sortFailedLast(current *layout.Layout, group []int) {
+	recentlyFailed := func(slot int) int {
+		at, failed := l.lastFailure.Load(current.Slots[slot].Disk.ID)
+		if failed && time.Since(at.(time.Time)) < failureMemory {
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(group, func(a, b int) int { return silent(a) - silent(b) })
+	slices.SortStableFunc(group, func(a, b int) int { return recentlyFailed(a) - recentlyFailed(b) })
 }
 
-// gather takes answers until a quorum holds the record; with patience, also for allGrace longer until all do.
-func (r *round) gather(ctx context.Context, l *Ledger, patience bool) error {
+// collect takes answers until a quorum holds the record; with waitForAll, for up to fullGroupGrace longer until all do.
+func (r *writeRound) collect(ctx context.Context, l *Ledger, waitForAll bool) error {
 	var grace <-chan time.Time
-	var problem error
-	spare := time.NewTimer(spareDelay)
-	defer spare.Stop()
+	var lastErr error
+	fallbackTimer := time.NewTimer(fallbackDelay)
+	defer fallbackTimer.Stop()
 	for answered := 0; answered < r.sent; {
 		select {
-		case a := <-r.answers:
+		case result := <-r.results:
 			answered++
-			if err := r.take(l, a); err != nil {
-				problem = err
-				r.askSpared()
+			if err := r.addResult(l, result); err != nil {
+				lastErr = err
+				r.startFallback()
 			}
-		case <-spare.C:
-			r.askSpared()
+		case <-fallbackTimer.C:
+			r.startFallback()
 			continue
 		case <-grace:
 			return nil
 		case <-ctx.Done():
-			if r.held >= r.quorum {
+			if r.acknowledged >= r.quorum {
 				return nil
 			}
 			return ctx.Err()
 		}
-		if r.all() || r.held >= r.quorum && !patience {
+		if r.complete() || r.acknowledged >= r.quorum && !waitForAll {
 			return nil
 		}
-		if r.held >= r.quorum && grace == nil {
-			timer := time.NewTimer(allGrace)
+		if r.acknowledged >= r.quorum && grace == nil {
+			timer := time.NewTimer(fullGroupGrace)
 			defer timer.Stop()
 			grace = timer.C
 		}
 	}
-	if r.held >= r.quorum {
+	if r.acknowledged >= r.quorum {
 		return nil
 	}
-	return errors.Join(ErrUnavailable, problem)
+	return errors.Join(ErrUnavailable, lastErr)
 }
 
-// askSpared asks the disks that were left out at first.
-func (r *round) askSpared() {
-	if r.spared != nil {
-		r.spared()
-		r.spared = nil
+// startFallback writes to the disks that were left out at first.
+func (r *writeRound) startFallback() {
+	if r.fallback != nil {
+		r.fallback()
+		r.fallback = nil
 	}
 }
 
-// take counts one answer.
-func (r *round) take(l *Ledger, a ack) error {
-	if a.err != nil {
-		return a.err
+// addResult adds one disk's answer to the round.
+func (r *writeRound) addResult(l *Ledger, result writeResult) error {
+	if result.err != nil {
+		return result.err
 	}
-	if err := l.judge(a.reply.Header); err != nil {
+	if err := l.checkHeader(result.reply.Header); err != nil {
 		return err
 	}
-	for _, e := range a.reply.Entries {
-		merge(r.known, e)
+	for _, e := range result.reply.Entries {
+		mergeEntry(r.turns, e)
 	}
-	r.aim = max(r.aim, a.reply.Aim)
-	r.places = append(r.places, a.reply.Places...)
-	r.open[a.slot]--
-	if r.open[a.slot] == 0 {
-		r.held++
+	r.timeBudget = max(r.timeBudget, result.reply.Aim)
+	r.cachedPrompts = append(r.cachedPrompts, result.reply.Places...)
+	r.unacknowledged[result.slot]--
+	if r.unacknowledged[result.slot] == 0 {
+		r.acknowledged++
 	}
 	return nil
 }
 
-// judge turns a disk's answer into an error, and learns the layout that it brings.
-func (l *Ledger) judge(header replica.Header) error {
+// checkHeader returns an error unless the disk carried the request out. It adopts the layout that the header holds.
+func (l *Ledger) checkHeader(header replica.Header) error {
 	if header.Layout != nil {
 		l.UpdateLayout(header.Layout)
 	}
@@ -349,7 +349,7 @@
 	case replica.OK:
 		return nil
 	case replica.StaleLayout:
-		return errStale
+		return errStaleLayout
 	case replica.WrongDisk:
 		return errWrongDisk
 	default:
@@ -358,14 +358,14 @@
 }
 
 var (
-	errStale      = errors.New("layout is out of date")
-	errWrongDisk  = errors.New("another disk answers at the address")
-	errDiskFailed = errors.New("disk failed")
+	errStaleLayout = errors.New("layout is out of date")
+	errWrongDisk   = errors.New("another disk answers at the address")
+	errDiskFailed  = errors.New("disk could not be read or written")
 )
 
-// merge adds an entry to those known; a later state of a turn wins.
-func merge(known map[string]replica.BudgetEntry, e replica.BudgetEntry) {
-	if e.State > known[e.ID].State {
-		known[e.ID] = e
+// mergeEntry adds an entry to those known; a later state of a turn wins.
+func mergeEntry(turns map[string]replica.BudgetEntry, e replica.BudgetEntry) {
+	if e.State > turns[e.ID].State {
+		turns[e.ID] = e
 	}
 }
