--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -136,8 +136,8 @@
 	DataCentres int
 	// Slots are the requests that those take at once that may be used.
 	Slots int
-	// Terms are under which they may be used.
-	Terms catalog.Constraints
+	// Constraints are under which they may be used.
+	Constraints catalog.Constraints
 	// ColdPerSecond is what one of them bears while it is cold, of all daemons together.
 	ColdPerSecond float64
 	// Lookup returns a start of a server that is in use, or nil; nil where that is not known.
@@ -207,7 +207,7 @@
 	}
 	s.count(now, 1)
 	b.calls[best.Service]++
-	if ask.Terms.Restriction(best) == catalog.RestrictedCold {
+	if ask.Constraints.Restriction(best) == catalog.RestrictedCold {
 		s.coldSent = now
 	}
 	s.waiting = append(s.waiting, now)
@@ -265,7 +265,7 @@
 // open tells whether a server may get the request under its terms. A cold one may where no other does, and in this daemon's
 // turn: all of them together must not send it more than it bears.
 func (b *Balancer) open(ask *Request, server *catalog.Server, now time.Time, trust trust) bool {
-	switch ask.Terms.Restriction(server) {
+	switch ask.Constraints.Restriction(server) {
 	case catalog.Unrestricted:
 		return true
 	case catalog.RestrictedCold:
--- a/internal/front/balance/cold_test.go
+++ b/internal/front/balance/cold_test.go
@@ -66,7 +66,7 @@
 		}
 		for range n {
 			ask := balance.Request{Route: "r", Servers: list, DataCentres: 1, PromptTokens: 100, ColdPerSecond: coldPerSecond,
-				Terms: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}}
+				Constraints: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}}
 			choice, found := crowd[random.IntN(daemons)].Pick(&ask)
 			if !found {
 				refused++
@@ -118,6 +118,6 @@
 	for _, server := range list {
 		coldUntil[server.ID] = time.Now().Add(time.Hour)
 	}
-	_, found := b.Pick(&balance.Request{Servers: list, ColdPerSecond: coldPerSecond, Terms: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}})
+	_, found := b.Pick(&balance.Request{Servers: list, ColdPerSecond: coldPerSecond, Constraints: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}})
 	assert.Assert(t, !found)
 }
--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -146,8 +146,8 @@
 	if service := x.table.Service(x.service); service != nil {
 		ask.ColdPerSecond = service.ColdPerSecond
 	}
-	ask.Servers, ask.Terms = fleet.Servers, servers.Constraints(time.Now(), x.homes(), ask.ColdPerSecond > 0)
-	ask.Slots, ask.DataCentres = fleet.Slots(&ask.Terms)
+	ask.Servers, ask.Constraints = fleet.Servers, servers.Constraints(time.Now(), x.homes(), ask.ColdPerSecond > 0)
+	ask.Slots, ask.DataCentres = fleet.Slots(&ask.Constraints)
 }
 
 // homes returns the regions to which the request may go: both its route and its organisation bind it.
