--- a/internal/decide/policy/cold.go
+++ b/internal/decide/policy/cold.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// coldShare is how much of what a cold server bears is used: daemons know of one another late.
-	coldShare = 0.6
-	// coldWindow is how long a daemon's turn lasts. Were it open for long, all daemons could use theirs in one second.
-	coldWindow = 200 * time.Millisecond
+	// coldUtilisation is how much of what a cold server bears is used: daemons know of one another late.
+	coldUtilisation = 0.6
+	// coldWindowLength is how long a daemon's turn lasts. Were it open for long, all daemons could use theirs in one second.
+	coldWindowLength = 200 * time.Millisecond
 )
 
 // ColdSendWindow spreads what all daemons send to a cold server over time, so that together they stay below what it bears in
@@ -26,17 +26,17 @@
 
 // period returns the time from one turn to the next.
 func (c ColdSendWindow) period() time.Duration {
-	seconds := max(1, c.Daemons) / (coldShare * c.PerSecond)
-	return max(2*coldWindow, time.Duration(math.Ceil(seconds*float64(time.Second))))
+	seconds := max(1, c.Daemons) / (coldUtilisation * c.PerSecond)
+	return max(2*coldWindowLength, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
 // Open tells whether a turn is open at a time, by a steady clock of the daemon's, and has not been used by the request that
 // went last so long ago.
-func (c ColdSendWindow) Open(at, sinceLast time.Duration) bool {
+func (c ColdSendWindow) Open(elapsed, sinceLast time.Duration) bool {
 	if c.PerSecond <= 0 {
 		return false
 	}
 	period := c.period()
 	phase := time.Duration(xxhash.Sum64String(c.Daemon+" "+c.Server) % uint64(period))
-	return (at+phase)%period < coldWindow && sinceLast >= period-coldWindow
+	return (elapsed+phase)%period < coldWindowLength && sinceLast >= period-coldWindowLength
 }
--- a/internal/decide/policy/engine.go
+++ b/internal/decide/policy/engine.go
@@ -50,9 +50,9 @@
 	return best
 }
 
-// surplusWeight is what a call of another daemon counts against one of this daemon's own. Reports are as old as a
+// peerCallWeight is what a call of another daemon counts against one of this daemon's own. Reports are as old as a
 // call takes, so daemons that trust them whole turn to one engine and leave it together.
-const surplusWeight = 0.3
+const peerCallWeight = 0.3
 
 // ExpectedCost returns what a call of promptTokens is expected to cost on an engine: the seconds that reading its
 // prompt takes, once for the call itself and once for each that is held up beside it, and those that the calls
@@ -60,7 +60,7 @@
 func ExpectedCost(engine Engine, promptTokens int64, costs Costs) float64 {
 	uncached := max(0, promptTokens-engine.CachedTokens)
 	cost := float64(uncached+1) * costs.PrefillPerToken * (1 + float64(engine.InFlight) + engine.PeerCalls)
-	cost += costs.SlowdownPerCall * (float64(engine.InFlight) + surplusWeight*engine.PeerCallsAboveMean)
+	cost += costs.SlowdownPerCall * (float64(engine.InFlight) + peerCallWeight*engine.PeerCallsAboveMean)
 	if engine.Remote {
 		cost += costs.CrossDataCentre
 	}
--- a/internal/decide/policy/keystatus.go
+++ b/internal/decide/policy/keystatus.go
@@ -18,8 +18,8 @@
 
 // NewConfigAgeLimits returns the bounds for a withdrawal that must be in force after a time everywhere, and for a change that
 // must be in force after a time at daemons in touch; 0 where there is no such bound.
-func NewConfigAgeLimits(withdrawal, change time.Duration) ConfigAgeLimits {
-	return ConfigAgeLimits{Accept: withdrawal - time.Duration(acceptMargin*float64(withdrawal)), Deny: change}
+func NewConfigAgeLimits(revocation, change time.Duration) ConfigAgeLimits {
+	return ConfigAgeLimits{Accept: revocation - time.Duration(acceptMargin*float64(revocation)), Deny: change}
 }
 
 // KeyStatus is what a daemon may say of a caller's key.
@@ -36,13 +36,13 @@
 )
 
 // KeyStatus returns what may be said of a key that a configuration of an age has, or has not.
-func (b ConfigAgeLimits) KeyStatus(known bool, age time.Duration) KeyStatus {
+func (l ConfigAgeLimits) KeyStatus(known bool, age time.Duration) KeyStatus {
 	switch {
-	case b.Accept > 0 && age > b.Accept:
+	case l.Accept > 0 && age > l.Accept:
 		return KeyUnknown
 	case known:
 		return KeyValid
-	case b.Deny > 0 && age > b.Deny:
+	case l.Deny > 0 && age > l.Deny:
 		return KeyUnknown
 	default:
 		return KeyInvalid
--- a/internal/decide/policy/keystatus_test.go
+++ b/internal/decide/policy/keystatus_test.go
@@ -10,7 +10,7 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-func TestProofOfAKey(t *testing.T) {
+func TestKeyStatus(t *testing.T) {
 	bounds := policy.NewConfigAgeLimits(5*time.Second, 3*time.Second)
 	for _, c := range []struct {
 		known bool
--- a/internal/decide/policy/latency_test.go
+++ b/internal/decide/policy/latency_test.go
@@ -10,8 +10,8 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// TestEqualServersSeldomCountAsSlow: calls of three kinds, each of which varies by as much as its mean (log-normal).
-func TestEqualServersSeldomCountAsSlow(t *testing.T) {
+// TestNormalServersRarelyCountAsSlow: calls of three kinds, each of which varies by as much as its mean (log-normal).
+func TestNormalServersRarelyCountAsSlow(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	sigma := math.Sqrt(math.Ln2)
 	usual := []float64{0.078, 0.312, 0.208}
@@ -30,7 +30,7 @@
 	assert.Assert(t, float64(slow) <= 0.06*float64(answers), "%d of %d", slow, answers)
 }
 
-func TestServerThatTurnsSlowIsNoticedSoon(t *testing.T) {
+func TestSlowServerIsDetectedSoon(t *testing.T) {
 	var p policy.RelativeLatency
 	for range 20 {
 		p.Observe(0.1, 0.1)
@@ -50,7 +50,7 @@
 	assert.Equal(t, p.CostFactor(), 1.0)
 }
 
-func TestPaceNeedsAComparison(t *testing.T) {
+func TestResponseWithoutTypicalTimeIsIgnored(t *testing.T) {
 	var p policy.RelativeLatency
 	p.Observe(5, 0)
 	assert.Equal(t, p.Ratio(), 1.0)
--- a/internal/decide/policy/lease.go
+++ b/internal/decide/policy/lease.go
@@ -11,24 +11,24 @@
 }
 
 const (
-	// lapseBeats is how many heartbeats without a renewal an outage has at least where an entry lapses: three are missed,
+	// expiryHeartbeats is how many heartbeats without a renewal an outage has at least where an entry lapses: three are missed,
 	// and the last one that came may be one older than the outage. Owners beat roughly, so a tenth less.
-	lapseBeats = 1.8
+	expiryHeartbeats = 1.8
 	// renewalTime is how soon after an outage live owners are back, 2 s, and the time that word of it takes, 0.2 s.
 	renewalTime = 2200 * time.Millisecond
 )
 
 // NewLeaseExpiry returns what holds for owners that renew their entries every heartbeat.
 func NewLeaseExpiry(heartbeat time.Duration) LeaseExpiry {
-	return LeaseExpiry{MinOutage: time.Duration(lapseBeats * float64(heartbeat)), Renewal: renewalTime}
+	return LeaseExpiry{MinOutage: time.Duration(expiryHeartbeats * float64(heartbeat)), Renewal: renewalTime}
 }
 
 // GraceUntil returns until when missing entries count as those of live owners, where the store's word of last is
 // followed by that of again; the zero time where too little time has passed for entries to lapse. It goes by the age
 // of what is known, not by the time for which the store was noticed to be away: one that is silent is noticed late.
-func (l LeaseExpiry) GraceUntil(last, again time.Time) time.Time {
-	if again.Sub(last) < l.MinOutage {
+func (l LeaseExpiry) GraceUntil(lastSeen, seenAgain time.Time) time.Time {
+	if seenAgain.Sub(lastSeen) < l.MinOutage {
 		return time.Time{}
 	}
-	return again.Add(l.Renewal)
+	return seenAgain.Add(l.Renewal)
 }
--- a/internal/decide/policy/lease_test.go
+++ b/internal/decide/policy/lease_test.go
@@ -9,13 +9,13 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// TestHeldUntil: entries are held after outages in which they can lapse, from the store's own first word on.
-func TestHeldUntil(t *testing.T) {
-	lapse := policy.NewLeaseExpiry(1200 * time.Millisecond)
+// TestGraceUntil: entries are held after outages in which they can lapse, from the store's own first word on.
+func TestGraceUntil(t *testing.T) {
+	expiry := policy.NewLeaseExpiry(1200 * time.Millisecond)
 	now := time.Now()
 	for _, row := range []struct {
-		gap  time.Duration
-		held bool
+		gap   time.Duration
+		grace bool
 	}{
 		{500 * time.Millisecond, false},
 		{1800 * time.Millisecond, false}, // an idle watch
@@ -23,11 +23,11 @@
 		{2200 * time.Millisecond, true},  // two heartbeats, roughly
 		{time.Hour, true},
 	} {
-		until := lapse.GraceUntil(now.Add(-row.gap), now)
-		assert.Equal(t, !until.IsZero(), row.held, "%v", row.gap)
-		if row.held {
+		until := expiry.GraceUntil(now.Add(-row.gap), now)
+		assert.Equal(t, !until.IsZero(), row.grace, "%v", row.gap)
+		if row.grace {
 			assert.Equal(t, until.Sub(now), 2200*time.Millisecond)
 		}
 	}
-	assert.Assert(t, !lapse.GraceUntil(time.Time{}, now).IsZero(), "nothing certain was ever known")
+	assert.Assert(t, !expiry.GraceUntil(time.Time{}, now).IsZero(), "nothing certain was ever known")
 }
--- a/internal/decide/policy/model.go
+++ b/internal/decide/policy/model.go
@@ -16,35 +16,35 @@
 // concurrent use.
 type CostModel struct {
 	defaults Costs
-	// products and targets are the sums of the normal equations.
-	products [features][features]float64
-	targets  [features]float64
-	weights  [features]float64
-	unsolved int
+	// normalMatrix and targets are the sums of the normal equations.
+	normalMatrix [features][features]float64
+	normalVector [features]float64
+	weights      [features]float64
+	sinceSolve   int
 }
 
 // The features of a call, in the units that make their weights of like size.
 const (
-	featureBase      = iota // 1
-	featureUncached         // thousands of tokens
-	featureGenerated        // hundreds of tokens
-	featureInFlight         // calls of this daemon on the engine
-	featureMean             // calls of this daemon on an engine in the mean: how busy the service is as a whole
+	featureBase        = iota // 1
+	featureUncached           // thousands of tokens
+	featureGenerated          // hundreds of tokens
+	featureInFlight           // calls of this daemon on the engine
+	featureServiceLoad        // calls of this daemon on an engine in the mean: how busy the service is as a whole
 	features
 )
 
 const (
-	// modelMemory is the weight that what was learnt keeps at each observation: some 500 calls count.
-	modelMemory = 0.998
-	// modelPull is how many observations of size one the defaults count for.
-	modelPull = 20
-	// solveEvery observations the weights are worked out anew.
-	solveEvery = 10
+	// modelDecay is the weight that what was learnt keeps at each observation: some 500 calls count.
+	modelDecay = 0.998
+	// priorWeight is how many observations of size one the defaults count for.
+	priorWeight = 20
+	// solveInterval observations the weights are worked out anew.
+	solveInterval = 10
 	// defaultGeneratedPer100 are the seconds for a hundred tokens before any were seen: 4 ms a token.
 	defaultGeneratedPer100 = 0.4
-	// costRange bounds how far learnt costs may lie from the defaults, either way: a wrong fit must not send every
+	// maxCostRatio bounds how far learnt costs may lie from the defaults, either way: a wrong fit must not send every
 	// call to one engine.
-	costRange = 30
+	maxCostRatio = 30
 )
 
 // NewCostModel returns a model that knows nothing but defaults.
@@ -67,13 +67,13 @@
 	x := featuresOf(o)
 	for i := range x {
 		for j := range x {
-			m.products[i][j] = modelMemory*m.products[i][j] + x[i]*x[j]
+			m.normalMatrix[i][j] = modelDecay*m.normalMatrix[i][j] + x[i]*x[j]
 		}
-		m.targets[i] = modelMemory*m.targets[i] + x[i]*o.Seconds
+		m.normalVector[i] = modelDecay*m.normalVector[i] + x[i]*o.Seconds
 	}
-	m.unsolved++
-	if m.unsolved >= solveEvery {
-		m.unsolved = 0
+	m.sinceSolve++
+	if m.sinceSolve >= solveInterval {
+		m.sinceSolve = 0
 		m.solve()
 	}
 }
@@ -85,10 +85,10 @@
 // solve works the weights out by Gaussian elimination. The pull towards the defaults keeps the equations regular.
 func (m *CostModel) solve() {
 	prior := m.prior()
-	a, b := m.products, m.targets
+	a, b := m.normalMatrix, m.normalVector
 	for i := range b {
-		a[i][i] += modelPull
-		b[i] += modelPull * prior[i]
+		a[i][i] += priorWeight
+		b[i] += priorWeight * prior[i]
 	}
 	for i := range b {
 		for k := i + 1; k < features; k++ {
@@ -110,8 +110,8 @@
 // Costs returns the costs as learnt so far.
 func (m *CostModel) Costs() Costs {
 	costs := m.defaults
-	costs.PrefillPerToken = within(m.weights[featureUncached]/1000, m.defaults.PrefillPerToken)
-	costs.SlowdownPerCall = within(m.weights[featureInFlight], m.defaults.SlowdownPerCall)
+	costs.PrefillPerToken = clampCost(m.weights[featureUncached]/1000, m.defaults.PrefillPerToken)
+	costs.SlowdownPerCall = clampCost(m.weights[featureInFlight], m.defaults.SlowdownPerCall)
 	return costs
 }
 
@@ -124,7 +124,7 @@
 	return max(seconds, 0)
 }
 
-// within bounds a learnt cost by costRange around its default.
-func within(learnt, byDefault float64) float64 {
-	return min(max(learnt, byDefault/costRange), byDefault*costRange)
+// clampCost bounds a learnt cost by costRange around its default.
+func clampCost(learnt, byDefault float64) float64 {
+	return min(max(learnt, byDefault/maxCostRatio), byDefault*maxCostRatio)
 }
--- a/internal/decide/policy/policy_test.go
+++ b/internal/decide/policy/policy_test.go
@@ -10,7 +10,7 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-func TestPlace(t *testing.T) {
+func TestChooseEngine(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		engines []policy.Engine
@@ -54,7 +54,7 @@
 	assert.Equal(t, served["heavy"], 30)
 }
 
-func TestQuietOrganisationIsNotDelayedByAFlood(t *testing.T) {
+func TestFloodDoesNotDelayOtherOrganisations(t *testing.T) {
 	var q policy.Queue
 	for range 1000 {
 		push(&q, "flood", 1, 9, 0, 10)
@@ -67,7 +67,7 @@
 	assert.Assert(t, first.Organisation == "quiet" || second.Organisation == "quiet")
 }
 
-func TestQueueInsideAnOrganisation(t *testing.T) {
+func TestOrderWithinOrganisation(t *testing.T) {
 	var q policy.Queue
 	long := push(&q, "o", 1, 0, 100_000, 1)
 	short := push(&q, "o", 1, 0, 10, 1)
@@ -78,7 +78,7 @@
 	assert.Assert(t, q.Pop() == nil)
 }
 
-func TestLongProgramIsServedInTheEnd(t *testing.T) {
+func TestLongProgramDoesNotStarve(t *testing.T) {
 	var q policy.Queue
 	long := push(&q, "o", 1, 0, 500_000, 1)
 	for i := range 5000 {
@@ -123,9 +123,9 @@
 	})
 }
 
-// BenchmarkPlace is the cost of placing a call on one of the servers of a model: 1,400 servers over 34 models
+// BenchmarkChooseEngine is the cost of placing a call on one of the servers of a model: 1,400 servers over 34 models
 // are 41 each.
-func BenchmarkPlace(b *testing.B) {
+func BenchmarkChooseEngine(b *testing.B) {
 	for _, count := range []int{10, 41, 410} {
 		engines := make([]policy.Engine, count)
 		for i := range engines {
--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -21,11 +21,11 @@
 )
 
 // ClassOf returns the standing of a call whose program has begun or not, and can't end in time or can.
-func ClassOf(begun, late bool) QueueClass {
+func ClassOf(started, late bool) QueueClass {
 	switch {
-	case begun && late:
+	case started && late:
 		return StartedLate
-	case begun:
+	case started:
 		return StartedOnTime
 	case late:
 		return NewLate
@@ -56,9 +56,9 @@
 	index   int
 }
 
-// agingTurns is how many later arrivals outweigh one doubling of attained service, so that a long program
+// agingArrivals is how many later arrivals outweigh one doubling of attained service, so that a long program
 // is never overtaken for ever.
-const agingTurns = 64
+const agingArrivals = 64
 
 // Queue orders waiting calls: fair between organisations by weighted service received, inside one by how the
 // program stands, by priority, and then by least attained service of the program, with ageing. It is not safe for
@@ -66,18 +66,18 @@
 type Queue struct {
 	organisations map[string]*tenant
 	ready         tenantHeap
-	// now is the virtual time: the service level of the organisation served last.
-	now      float64
-	arrivals uint64
-	length   int
+	// virtualNow is the virtual time: the service level of the organisation served last.
+	virtualNow float64
+	arrivals   uint64
+	length     int
 }
 
 // tenant is an organisation in the queue.
 type tenant struct {
-	name    string
-	virtual float64
-	calls   callHeap
-	index   int
+	name        string
+	virtualTime float64
+	calls       callHeap
+	index       int
 }
 
 // Len returns the number of waiting calls.
@@ -107,7 +107,7 @@
 	heap.Push(&t.calls, w)
 	q.length++
 	if len(t.calls) == 1 {
-		t.virtual = max(t.virtual, q.now)
+		t.virtualTime = max(t.virtualTime, q.virtualNow)
 		heap.Push(&q.ready, t)
 	}
 }
@@ -120,9 +120,9 @@
 	t := q.ready[0]
 	w := heap.Pop(&t.calls).(*QueuedCall)
 	q.length--
-	q.now = max(q.now, t.virtual)
-	t.virtual += float64(w.Cost) / float64(max(1, w.Weight))
-	q.settle(t)
+	q.virtualNow = max(q.virtualNow, t.virtualTime)
+	t.virtualTime += float64(w.Cost) / float64(max(1, w.Weight))
+	q.reposition(t)
 	return w
 }
 
@@ -134,7 +134,7 @@
 	}
 	heap.Remove(&t.calls, w.index)
 	q.length--
-	q.settle(t)
+	q.reposition(t)
 }
 
 // Ahead returns how many calls of the same organisation and standing are to be served before one in the queue.
@@ -152,9 +152,9 @@
 	return n
 }
 
-// settle puts an organisation in its place after its calls or its service changed, and forgets one that
+// reposition puts an organisation in its place after its calls or its service changed, and forgets one that
 // waits for nothing and is not ahead of the others.
-func (q *Queue) settle(t *tenant) {
+func (q *Queue) reposition(t *tenant) {
 	if len(t.calls) > 0 {
 		heap.Fix(&q.ready, t.index)
 		return
@@ -162,10 +162,10 @@
 	heap.Remove(&q.ready, t.index)
 	if q.length == 0 {
 		clear(q.organisations)
-		q.now = 0
+		q.virtualNow = 0
 		return
 	}
-	if t.virtual <= q.now {
+	if t.virtualTime <= q.virtualNow {
 		delete(q.organisations, t.name)
 	}
 }
@@ -186,7 +186,7 @@
 
 // rank returns what a call is ordered by after its priority: lower goes first.
 func (w *QueuedCall) rank() float64 {
-	return log2(w.Attained+1)*agingTurns + float64(w.arrival)
+	return log2(w.Attained+1)*agingArrivals + float64(w.arrival)
 }
 
 // log2 returns the whole binary logarithm of a positive number.
@@ -227,8 +227,8 @@
 
 func (h tenantHeap) Len() int { return len(h) }
 func (h tenantHeap) Less(i, j int) bool {
-	if h[i].virtual != h[j].virtual {
-		return h[i].virtual < h[j].virtual
+	if h[i].virtualTime != h[j].virtualTime {
+		return h[i].virtualTime < h[j].virtualTime
 	}
 	return h[i].name < h[j].name
 }
--- a/internal/decide/policy/recentmax.go
+++ b/internal/decide/policy/recentmax.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// mostMemory is how long a larger number holds.
-const mostMemory = 10 * time.Second
+// recentMaxWindow is how long a larger number holds.
+const recentMaxWindow = 10 * time.Second
 
 // RecentMax is the largest of the numbers seen of late: where it counts daemons, those that are away for a while count, and one
 // that knows few others for now does not lower it. The zero value is ready for use.
@@ -14,7 +14,7 @@
 
 // Observe takes a number into account and returns the largest of late.
 func (m *RecentMax) Observe(now time.Time, n int) int {
-	if n >= m.n || now.Sub(m.at) > mostMemory {
+	if n >= m.n || now.Sub(m.at) > recentMaxWindow {
 		m.n, m.at = n, now
 	}
 	return m.n
--- a/internal/decide/policy/share.go
+++ b/internal/decide/policy/share.go
@@ -10,11 +10,11 @@
 // have own of them and the other daemons others: as many as it wants while the slots suffice, and its part of them
 // when they do not.
 func SlotShare(slots, own, others int) int {
-	most := overcommit * float64(slots)
-	if float64(own+others) <= most {
+	limit := overcommit * float64(slots)
+	if float64(own+others) <= limit {
 		return own
 	}
-	return max(1, int(most*float64(own)/float64(own+others)+0.5))
+	return max(1, int(limit*float64(own)/float64(own+others)+0.5))
 }
 
 // InTime tells whether a call that has so many calls before it can expect its turn within the time left, where
@@ -34,38 +34,38 @@
 // TimeBudgetShare learns which share of the time that programs of one kind are given they need when nothing holds them up:
 // a high quantile over their calls of the time used by the end of the call. The zero value is ready for use.
 type TimeBudgetShare struct {
-	learnt float64
+	estimate float64
 }
 
 const (
-	// firstAimShare stands until programs were seen.
-	firstAimShare = 0.6
-	// aimQuantile of the calls end within the share: the last calls of programs count, which are few.
-	aimQuantile = 0.95
-	// aimStep is how far one call moves the share: some hundred calls settle it.
-	aimStep = 0.01
-	// mostAimShare leaves a program some time to wait, whatever was seen.
-	mostAimShare = 0.95
+	// defaultBudgetShare stands until programs were seen.
+	defaultBudgetShare = 0.6
+	// budgetQuantile of the calls end within the share: the last calls of programs count, which are few.
+	budgetQuantile = 0.95
+	// budgetStep is how far one call moves the share: some hundred calls settle it.
+	budgetStep = 0.01
+	// maxBudgetShare leaves a program some time to wait, whatever was seen.
+	maxBudgetShare = 0.95
 )
 
 // Observe takes a call into account that ended when its program had used so much of its time. Calls that had to
 // wait must not be told.
 func (s *TimeBudgetShare) Observe(used float64) {
-	if s.learnt == 0 {
-		s.learnt = firstAimShare
+	if s.estimate == 0 {
+		s.estimate = defaultBudgetShare
 	}
-	if used > s.learnt {
-		s.learnt = min(mostAimShare, s.learnt+aimQuantile*aimStep)
+	if used > s.estimate {
+		s.estimate = min(maxBudgetShare, s.estimate+budgetQuantile*budgetStep)
 	} else {
-		s.learnt = max(aimStep, s.learnt-(1-aimQuantile)*aimStep)
+		s.estimate = max(budgetStep, s.estimate-(1-budgetQuantile)*budgetStep)
 	}
 }
 
 // Need returns the time that a program needs of what it was given.
-func (s *TimeBudgetShare) Need(aim time.Duration) time.Duration {
-	share := s.learnt
+func (s *TimeBudgetShare) Need(budget time.Duration) time.Duration {
+	share := s.estimate
 	if share == 0 {
-		share = firstAimShare
+		share = defaultBudgetShare
 	}
-	return time.Duration(share * float64(aim))
+	return time.Duration(share * float64(budget))
 }
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -11,7 +11,7 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-func TestShare(t *testing.T) {
+func TestSlotShare(t *testing.T) {
 	for _, c := range []struct{ slots, own, others, want int }{
 		{16, 5, 0, 5}, {16, 10, 10, 10}, {16, 20, 20, 10}, {16, 1, 1000, 1}, {0, 3, 0, 1}, {160, 100, 300, 50},
 	} {
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestSharesFit: what daemons that know of one another let go together fits the slots, but for one each.
-func TestSharesFit(t *testing.T) {
+// TestSharesFitSlots: what daemons that know of one another let go together fits the slots, but for one each.
+func TestSharesFitSlots(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		slots := rapid.IntRange(1, 500).Draw(r, "slots")
 		wants := rapid.SliceOfN(rapid.IntRange(1, 100), 1, 60).Draw(r, "wants")
@@ -49,13 +49,13 @@
 	assert.Assert(t, !policy.InTime(1, 10, -time.Second))
 }
 
-func TestWaitFor(t *testing.T) {
+func TestQueueDelay(t *testing.T) {
 	assert.Equal(t, policy.QueueDelay(1, 0, time.Second), time.Second)
 	assert.Equal(t, policy.QueueDelay(1, 10, time.Second), 100*time.Millisecond)
 	assert.Equal(t, policy.QueueDelay(100, 10, time.Second), time.Second)
 }
 
-func TestAimShareIsLearnt(t *testing.T) {
+func TestTimeBudgetShareIsLearnt(t *testing.T) {
 	var s policy.TimeBudgetShare
 	assert.Equal(t, s.Need(time.Second), 600*time.Millisecond)
 	for i := range 5000 {
@@ -69,24 +69,24 @@
 	assert.Equal(t, s.Need(time.Second), 950*time.Millisecond)
 }
 
-func TestQueueByStanding(t *testing.T) {
+func TestQueueByClass(t *testing.T) {
 	var q policy.Queue
 	now := time.Unix(100, 0)
-	add := func(standing policy.QueueClass, due time.Time, priority int32) *policy.QueuedCall {
-		w := &policy.QueuedCall{Class: standing, LatestStart: due, Priority: priority, Weight: 1, Cost: 1}
+	add := func(class policy.QueueClass, latestStart time.Time, priority int32) *policy.QueuedCall {
+		w := &policy.QueuedCall{Class: class, LatestStart: latestStart, Priority: priority, Weight: 1, Cost: 1}
 		q.Push(w)
 		return w
 	}
 	fresh := add(policy.NewOnTime, now, 0)
 	freshUrgent := add(policy.NewOnTime, now.Add(time.Hour), 9)
-	behind := add(policy.StartedLate, now.Add(-time.Hour), 0)
+	late := add(policy.StartedLate, now.Add(-time.Hour), 0)
 	unknown := add(policy.StartedOnTime, time.Time{}, 9)
 	later := add(policy.StartedOnTime, now.Add(time.Second), 9)
 	soon := add(policy.StartedOnTime, now, 0)
-	lost := add(policy.NewLate, now, 9)
+	newLate := add(policy.NewLate, now, 9)
 	assert.Equal(t, q.Ahead(unknown), 2)
 	assert.Equal(t, q.Ahead(fresh), 1)
-	for i, want := range []*policy.QueuedCall{soon, later, unknown, behind, freshUrgent, fresh, lost} {
+	for i, want := range []*policy.QueuedCall{soon, later, unknown, late, freshUrgent, fresh, newLate} {
 		assert.Assert(t, q.Pop() == want, "place %d", i)
 	}
 	assert.Equal(t, policy.ClassOf(true, false), policy.StartedOnTime)
--- a/internal/decide/policy/subset.go
+++ b/internal/decide/policy/subset.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// leastWidth is how many servers a data centre's daemons turn to however little there is to do: some may go dark at once.
-	leastWidth = 16
+	// minSubsetSize is how many servers a data centre's daemons turn to however little there is to do: some may go dark at once.
+	minSubsetSize = 16
 	// serversPerCall is how many servers they turn to for each call: calls seldom meet at one, and some may be slow or dark.
 	serversPerCall = 1.5
 )
@@ -18,11 +18,11 @@
 //
 // It answers a light load before many servers; where servers are fewer than calls it leaves none out.
 func SubsetSize(calls float64, dataCentres int) int {
-	return max(leastWidth, int(math.Ceil(serversPerCall*calls/float64(max(1, dataCentres)))))
+	return max(minSubsetSize, int(math.Ceil(serversPerCall*calls/float64(max(1, dataCentres)))))
 }
 
-// peakMemory is the time in which a peak falls to a third.
-const peakMemory = 10 * time.Second
+// maxDecayTime is the time in which a peak falls to a third.
+const maxDecayTime = 10 * time.Second
 
 // DecayingMax is the most that a value has been of late: it rises at once and falls slowly. The zero value is ready for use.
 type DecayingMax struct {
@@ -31,16 +31,16 @@
 }
 
 // Observe takes a value into account.
-func (p *DecayingMax) Observe(now time.Time, value float64) {
-	if value >= p.Read(now) {
-		p.value, p.at = value, now
+func (m *DecayingMax) Observe(now time.Time, value float64) {
+	if value >= m.Read(now) {
+		m.value, m.at = value, now
 	}
 }
 
 // Read returns the peak.
-func (p *DecayingMax) Read(now time.Time) float64 {
-	if p.at.IsZero() {
+func (m *DecayingMax) Read(now time.Time) float64 {
+	if m.at.IsZero() {
 		return 0
 	}
-	return p.value * math.Exp(-now.Sub(p.at).Seconds()/peakMemory.Seconds())
+	return m.value * math.Exp(-now.Sub(m.at).Seconds()/maxDecayTime.Seconds())
 }
