--- a/internal/decide/quota/client_test.go
+++ b/internal/decide/quota/client_test.go
@@ -20,7 +20,7 @@
 type fleet struct {
 	t      *testing.T
 	fabric *memnet.Fabric
-	asker  *quota.Client
+	client *quota.Client
 	limit  quota.Limit
 }
 
@@ -34,7 +34,7 @@
 		f.start(i)
 		addresses = append(addresses, storeName(i)+":1")
 	}
-	f.asker = f.front("front", addresses)
+	f.client = f.front("front", addresses)
 	t.Cleanup(func() {
 		for i := range stores {
 			f.fabric.Kill(storeName(i))
@@ -45,11 +45,11 @@
 	return f
 }
 
-func (f *fleet) front(name string, homes []string) *quota.Client {
+func (f *fleet) front(name string, replicas []string) *quota.Client {
 	dial := func(ctx context.Context, _, address string) (net.Conn, error) {
 		return f.fabric.Dial(ctx, name, address)
 	}
-	return quota.NewClient(peerlink.NewSet(dial), func(string) []string { return homes })
+	return quota.NewClient(peerlink.NewSet(dial), func(string) []string { return replicas })
 }
 
 func (f *fleet) start(i int) {
@@ -59,14 +59,14 @@
 	go func() { _ = peerlink.Serve(l, map[string]any{quota.ServiceName: service}) }()
 }
 
-func (f *fleet) take(a *quota.Client, first bool) (*quota.Grant, error) {
-	return a.Take(f.t.Context(), quota.Request{Organisation: "o", Limit: f.limit, Version: 1, First: first})
+func (f *fleet) take(c *quota.Client, first bool) (*quota.Grant, error) {
+	return c.Take(f.t.Context(), quota.Request{Organisation: "o", Limit: f.limit, Version: 1, First: first})
 }
 
 // takeAll takes one request after the other until one is refused, and returns how many were granted for at once.
 func (f *fleet) takeAll() (granted int) {
 	for range 10_000 {
-		if _, err := f.take(f.asker, true); err != nil {
+		if _, err := f.take(f.client, true); err != nil {
 			var over *quota.OverLimitError
 			assert.Assert(f.t, errors.As(err, &over), "%v", err)
 			assert.Assert(f.t, over.Wait > 0)
@@ -94,9 +94,9 @@
 	})
 }
 
-// TestTwoHomesMayBeGone: the rest and those that stand in go on counting, and what was counted before still counts.
-func TestTwoHomesMayBeGone(t *testing.T) {
-	for _, strike := range []func(f *fleet, host string){
+// TestTwoReplicasMayFail: the rest and those that stand in go on counting, and what was counted before still counts.
+func TestTwoReplicasMayFail(t *testing.T) {
+	for _, fault := range []func(f *fleet, host string){
 		func(f *fleet, host string) { f.fabric.Kill(host) },
 		func(f *fleet, host string) { f.fabric.Partition("front", host) },
 		func(f *fleet, host string) { f.fabric.Freeze(host) },
@@ -104,8 +104,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 5, small)
 			full := f.takeAll()
-			strike(f, storeName(0))
-			strike(f, storeName(1))
+			fault(f, storeName(0))
+			fault(f, storeName(1))
 			began := time.Now()
 			left := f.takeAll()
 			assert.Assert(t, time.Since(began) < time.Second, "answered after %v", time.Since(began))
@@ -118,14 +118,14 @@
 	}
 }
 
-// TestWithoutHomesNothingIsGranted, and nothing is called over the limit.
-func TestWithoutHomesNothingIsGranted(t *testing.T) {
+// TestNoGrantWithoutQuorum, and nothing is called over the limit.
+func TestNoGrantWithoutQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, small)
 		for i := range 4 {
 			f.fabric.Partition("front", storeName(i))
 		}
-		_, err := f.take(f.asker, true)
+		_, err := f.take(f.client, true)
 		assert.ErrorIs(t, err, quota.ErrUnavailable)
 		nowhere := f.front("front", nil)
 		_, err = f.take(nowhere, true)
@@ -138,7 +138,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, small)
 		for range 100 {
-			grant, err := f.take(f.asker, true)
+			grant, err := f.take(f.client, true)
 			assert.NilError(t, err)
 			grant.Return()
 			synctest.Wait()
@@ -146,23 +146,23 @@
 	})
 }
 
-// TestRefusalStandsForAMoment: an organisation far over its limit does not flood its homes.
-func TestRefusalStandsForAMoment(t *testing.T) {
+// TestRefusalIsReused: an organisation far over its limit does not flood its homes.
+func TestRefusalIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, small)
 		f.takeAll()
 		var first, over *quota.OverLimitError
-		_, err := f.take(f.asker, true)
+		_, err := f.take(f.client, true)
 		assert.Assert(t, errors.As(err, &first), "%v", err)
 		for i := range 3 {
 			f.fabric.Partition("front", storeName(i))
 		}
-		_, err = f.take(f.asker, true)
+		_, err = f.take(f.client, true)
 		assert.Assert(t, errors.As(err, &over), "without asking: %v", err)
 		// One more comes in after 0.42 s; of the first refusal half of that is left.
 		assert.Assert(t, first.Wait > 150*time.Millisecond && over.Wait > 150*time.Millisecond, "it tells when there is room all the same: %v, %v", first.Wait, over.Wait)
 		time.Sleep(200 * time.Millisecond)
-		_, err = f.take(f.asker, true)
+		_, err = f.take(f.client, true)
 		assert.ErrorIs(t, err, quota.ErrUnavailable)
 	})
 }
--- a/internal/decide/quota/compare_test.go
+++ b/internal/decide/quota/compare_test.go
@@ -10,29 +10,31 @@
 	"github.com/rookpass/rookpass/internal/decide/quota"
 )
 
-// way is a way to keep one organisation's limit over many fronts.
-type way interface {
+// limiter is a limiter to keep one organisation's limit over many fronts.
+type limiter interface {
 	// take tells whether a front may run a request at a time.
 	take(front int, now time.Time) bool
 	// messages returns how many messages were sent between daemons.
 	messages() int
 }
 
-// shares gives each front a fixed share of the limit.
-type shares struct{ buckets []*quota.Bucket }
+// staticShares gives each front a fixed share of the limit.
+type staticShares struct{ buckets []*quota.Bucket }
 
-func newShares(fronts int, l quota.Limit, now time.Time) way {
+func newStaticShares(fronts int, l quota.Limit, now time.Time) limiter {
 	n := float64(fronts)
 	own := quota.Tolerance{Window: tolerance.Window, Excess: tolerance.Excess, Slack: tolerance.Slack / n}
-	s := &shares{}
+	s := &staticShares{}
 	for range fronts {
 		s.buckets = append(s.buckets, quota.NewBucket(own, quota.Limit{PerSecond: l.PerSecond / n, Burst: l.Burst / n}, 1, now.Add(-time.Minute), now))
 	}
 	return s
 }
 
-func (s *shares) take(front int, now time.Time) bool { return s.buckets[front].Take(true, now).Granted }
-func (s *shares) messages() int                      { return 0 }
+func (s *staticShares) take(front int, now time.Time) bool {
+	return s.buckets[front].Take(true, now).Granted
+}
+func (s *staticShares) messages() int { return 0 }
 
 // gossip counts at each front; every pause each front learns what all had counted at its last report.
 type gossip struct {
@@ -45,7 +47,7 @@
 	sent   int
 }
 
-func newGossip(fronts int, l quota.Limit, now time.Time) way {
+func newGossip(fronts int, l quota.Limit, now time.Time) limiter {
 	pause := 300 * time.Millisecond * time.Duration(max(1, (fronts+149)/150)) // as fronts swap what they have seen
 	g := &gossip{limit: l.PerSecond*tolerance.Window.Seconds() + l.Burst, pause: pause, own: make([][]time.Time, fronts), seen: make([]int, fronts),
 		told: make([]time.Time, fronts), report: make([]int, fronts)}
@@ -87,31 +89,31 @@
 
 func (g *gossip) messages() int { return g.sent }
 
-// counted asks homes at each request.
-type counted struct {
+// replicated asks homes at each request.
+type replicated struct {
 	bucket *quota.Bucket
 	sent   int
 }
 
-func newCounted(_ int, l quota.Limit, now time.Time) way {
-	return &counted{bucket: quota.NewBucket(tolerance, l, 1, now.Add(-time.Minute), now)}
+func newReplicated(_ int, l quota.Limit, now time.Time) limiter {
+	return &replicated{bucket: quota.NewBucket(tolerance, l, 1, now.Add(-time.Minute), now)}
 }
 
-func (c *counted) take(_ int, now time.Time) bool {
+func (c *replicated) take(_ int, now time.Time) bool {
 	c.sent += 3
 	return c.bucket.Take(true, now).Granted
 }
-func (c *counted) messages() int { return c.sent }
+func (c *replicated) messages() int { return c.sent }
 
-// fared is how a way fared: shares of what was asked, and the fullest window by what is borne.
-type fared struct {
+// result is how a way result: shares of what was asked, and the fullest window by what is borne.
+type result struct {
 	refused, fullest float64
 	perSecond        float64
 }
 
 // compare lets an organisation ask at a multiple of its usual load through a few fronts or all.
-func compare(make func(int, quota.Limit, time.Time) way, fronts, through int, usual, times float64) fared {
-	var f fared
+func compare(make func(int, quota.Limit, time.Time) limiter, fronts, through int, usual, times float64) result {
+	var f result
 	const seeds, seconds = 10, 12
 	for seed := range uint64(seeds) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -131,20 +133,20 @@
 			}
 		}
 		f.refused += float64(refused) / float64(asked) / seeds
-		f.fullest = max(f.fullest, float64(most(ran, tolerance.Window))/allowed(limit))
+		f.fullest = max(f.fullest, float64(maxInWindow(ran, tolerance.Window))/allowed(limit))
 		f.perSecond += float64(w.messages()) / seconds / seeds
 	}
 	return f
 }
 
-// TestWaysToKeepALimit compares three ways for a small and a large organisation: at its usual load through few fronts, and
+// TestCompareLimiters compares three ways for a small and a large organisation: at its usual load through few fronts, and
 // at ten times that through all of them. What is used must refuse next to nothing of the first and never exceed what is
 // borne in the second; its messages grow with requests, not with fronts.
-func TestWaysToKeepALimit(t *testing.T) {
-	ways := map[string]func(int, quota.Limit, time.Time) way{"shares": newShares, "gossip": newGossip, "homes": newCounted}
+func TestCompareLimiters(t *testing.T) {
+	limiters := map[string]func(int, quota.Limit, time.Time) limiter{"shares": newStaticShares, "gossip": newGossip, "homes": newReplicated}
 	for _, fronts := range []int{7, 58, 259, 400} {
 		for _, usual := range []float64{5, 140} {
-			for name, make := range ways {
+			for name, make := range limiters {
 				calm, hot := compare(make, fronts, 3, usual, 1), compare(make, fronts, fronts, usual, 10)
 				t.Logf("%d fronts, %v a second, %s: usual load %.3f refused, %.0f messages a second; ten times %.2f of what is borne", fronts, usual, name,
 					calm.refused, calm.perSecond, hot.fullest)
--- a/internal/decide/quota/load_test.go
+++ b/internal/decide/quota/load_test.go
@@ -40,26 +40,26 @@
 	return last
 }
 
-// course is how an organisation's programs fared.
-type course struct{ begun, whole, inTime, refused int }
+// tally is how an organisation's programs fared.
+type tally struct{ started, completed, inTime, refused int }
 
 const (
 	// requestPause is the mean time from one request of a program to the next, meanRequests how many a program makes.
 	requestPause = 150 * time.Millisecond
 	meanRequests = 17
-	// mostTries is how often a caller asks for one request.
-	mostTries = 3
+	// maxTries is how often a caller asks for one request.
+	maxTries = 3
 	// slack is by what share a program may take longer than by itself and still be in time.
 	slack = 0.8
 )
 
-// play lets an organisation whose limit is 1.6 times its usual load ask at times that load: programs are begun at random,
+// simulate lets an organisation whose limit is 1.6 times its usual load ask at times that load: programs are begun at random,
 // and each request is tried again when the bucket says so.
-func play(r *rand.Rand, usual, times float64, length time.Duration, first bool) course {
+func simulate(r *rand.Rand, usual, times float64, length time.Duration, first bool) tally {
 	now := time.Unix(0, 0)
 	limit := quota.Limit{PerSecond: 1.6 * usual, Burst: 1.6 * usual}
 	b := quota.NewBucket(tolerance, limit, 1, now.Add(-time.Minute), now)
-	var c course
+	var c tally
 	var todo agenda
 	end := now.Add(length)
 	for at := now; at.Before(end); at = at.Add(time.Duration(r.ExpFloat64() * meanRequests / usual / times * float64(time.Second))) {
@@ -70,7 +70,7 @@
 		p := next.program
 		answer := b.Take(p.first && first, next.at)
 		if !answer.Granted {
-			if p.tries++; p.tries == mostTries {
+			if p.tries++; p.tries == maxTries {
 				c.refused++
 				continue
 			}
@@ -81,12 +81,12 @@
 			continue
 		}
 		if p.first {
-			c.begun++
+			c.started++
 		}
 		p.first, p.tries = false, 0
 		p.held += answer.Wait
 		if p.left--; p.left == 0 {
-			c.whole++
+			c.completed++
 			if float64(p.held) <= slack*float64(p.paused) {
 				c.inTime++
 			}
@@ -99,13 +99,13 @@
 	return c
 }
 
-// playMany adds up courses of twenty seeds.
-func playMany(usual, times float64, first bool) course {
-	var sum course
+// simulateSeeds adds up courses of twenty seeds.
+func simulateSeeds(usual, times float64, first bool) tally {
+	var sum tally
 	for seed := range uint64(20) {
-		c := play(rand.New(rand.NewPCG(seed, 1)), usual, times, 8*time.Second, first)
-		sum.begun += c.begun
-		sum.whole += c.whole
+		c := simulate(rand.New(rand.NewPCG(seed, 1)), usual, times, 8*time.Second, first)
+		sum.started += c.started
+		sum.completed += c.completed
 		sum.inTime += c.inTime
 		sum.refused += c.refused
 	}
@@ -116,22 +116,22 @@
 // its limit, is refused next to nothing, whatever its size.
 func TestUsualLoadIsNotRefused(t *testing.T) {
 	for _, usual := range []float64{5, 20, 140} {
-		c := playMany(usual, 1, true)
-		assert.Assert(t, c.refused*50 <= c.begun+c.refused, "usual load of %v: %+v", usual, c)
-		assert.Assert(t, c.inTime*20 >= c.whole*19, "usual load of %v: %+v", usual, c)
+		c := simulateSeeds(usual, 1, true)
+		assert.Assert(t, c.refused*50 <= c.started+c.refused, "usual load of %v: %+v", usual, c)
+		assert.Assert(t, c.inTime*20 >= c.completed*19, "usual load of %v: %+v", usual, c)
 	}
 }
 
-// TestHotOrganisationEndsWhatItBegins: programs of an organisation at many times its limit that begin also end, most of
+// TestOverloadedOrganisationCompletesPrograms: programs of an organisation at many times its limit that begin also end, most of
 // them in time. Of 20 seeds of 8 s, a usual load of 20 requests a second and 7.5 times that: 446 began, 446 ended, 424 in
 // time; where a program's first request is granted as any other, 1318 began, 852 ended, 68 in time. At 140 a second 3,004
 // and 414 in time, at 5 a second 68 and 26. At twice the load of 140 a second it costs 4 in 100: 2,522 in time, and 2,628.
-func TestHotOrganisationEndsWhatItBegins(t *testing.T) {
+func TestOverloadedOrganisationCompletesPrograms(t *testing.T) {
 	for _, usual := range []float64{5, 20, 140} {
 		for _, times := range []float64{4, 7.5, 12} {
-			held, flat := playMany(usual, times, true), playMany(usual, times, false)
-			assert.Assert(t, held.whole*10 >= held.begun*9, "%v times %v: %+v", times, usual, held)
-			assert.Assert(t, held.inTime >= flat.inTime, "%v times %v: in time %d, and %d where all are alike", times, usual, held.inTime, flat.inTime)
+			withPrecedence, withoutPrecedence := simulateSeeds(usual, times, true), simulateSeeds(usual, times, false)
+			assert.Assert(t, withPrecedence.completed*10 >= withPrecedence.started*9, "%v times %v: %+v", times, usual, withPrecedence)
+			assert.Assert(t, withPrecedence.inTime >= withoutPrecedence.inTime, "%v times %v: in time %d, and %d where all are alike", times, usual, withPrecedence.inTime, withoutPrecedence.inTime)
 		}
 	}
 }
--- a/internal/decide/quota/service.go
+++ b/internal/decide/quota/service.go
@@ -10,8 +10,8 @@
 // ServiceName is the net/rpc name of the service.
 const ServiceName = "Quota"
 
-// idlePause is the time between two looks for buckets that know nothing any more.
-const idlePause = 30 * time.Second
+// sweepInterval is the time between two looks for buckets that know nothing any more.
+const sweepInterval = 30 * time.Second
 
 // TakeArgs ask for the grant of one request.
 type TakeArgs struct {
@@ -40,13 +40,13 @@
 
 	mu      sync.Mutex
 	buckets map[string]*Bucket
-	looked  time.Time
+	sweptAt time.Time
 }
 
 // NewService returns a home that has counted nothing.
 func NewService(t Tolerance) *Service {
 	now := time.Now()
-	return &Service{tolerance: t, started: now, looked: now, buckets: map[string]*Bucket{}}
+	return &Service{tolerance: t, started: now, sweptAt: now, buckets: map[string]*Bucket{}}
 }
 
 // Take answers whether a request may run.
@@ -54,7 +54,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.forget(now)
+	s.sweep(now)
 	b := s.buckets[args.Organisation]
 	if b == nil {
 		since := s.started
@@ -107,18 +107,18 @@
 	defer s.mu.Unlock()
 	counts := make([]Count, 0, len(s.buckets))
 	for name, b := range s.buckets {
-		counts = append(counts, Count{Organisation: name, PerSecond: b.limit.PerSecond, Burst: b.limit.Burst, Free: b.free(time.Now())})
+		counts = append(counts, Count{Organisation: name, PerSecond: b.limit.PerSecond, Burst: b.limit.Burst, Free: b.available(time.Now())})
 	}
 	slices.SortFunc(counts, func(a, b Count) int { return strings.Compare(a.Organisation, b.Organisation) })
 	return counts
 }
 
-// forget drops buckets that know nothing any more. It is called with the lock held.
-func (s *Service) forget(now time.Time) {
-	if now.Sub(s.looked) < idlePause {
+// sweep drops buckets that know nothing any more. It is called with the lock held.
+func (s *Service) sweep(now time.Time) {
+	if now.Sub(s.sweptAt) < sweepInterval {
 		return
 	}
-	s.looked = now
+	s.sweptAt = now
 	for name, b := range s.buckets {
 		if b.Idle(now) {
 			delete(s.buckets, name)
--- a/internal/decide/quota/window_test.go
+++ b/internal/decide/quota/window_test.go
@@ -12,8 +12,8 @@
 	"github.com/rookpass/rookpass/internal/decide/quota"
 )
 
-// most returns the largest number of times within any window, which counts both its ends.
-func most(times []time.Time, window time.Duration) int {
+// maxInWindow returns the largest number of times within any window, which counts both its ends.
+func maxInWindow(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most, from := 0, 0
 	for i, at := range times {
@@ -30,32 +30,32 @@
 	return (l.PerSecond*tolerance.Window.Seconds()+l.Burst)*(1+tolerance.Excess) + tolerance.Slack
 }
 
-// homes are the daemons that count one organisation's requests: three, and two that stand in.
-type homes struct {
-	r       *rand.Rand
-	limit   quota.Limit
-	version int64
-	started [5]time.Time
-	buckets [5]*quota.Bucket
-	down    [5]time.Time // until when
-	held    time.Time    // until when grants for later were given
+// replicaSet are the daemons that count one organisation's requests: three, and two that stand in.
+type replicaSet struct {
+	r             *rand.Rand
+	limit         quota.Limit
+	version       int64
+	started       [5]time.Time
+	buckets       [5]*quota.Bucket
+	downUntil     [5]time.Time // until when
+	reservedUntil time.Time    // until when grants for later were given
 }
 
 // restart ends a daemon that is back after a time and knows nothing.
-func (h *homes) restart(i int, now time.Time, after time.Duration) {
-	h.buckets[i], h.down[i] = nil, now.Add(after)
-	h.started[i] = h.down[i]
+func (h *replicaSet) restart(i int, now time.Time, after time.Duration) {
+	h.buckets[i], h.downUntil[i] = nil, now.Add(after)
+	h.started[i] = h.downUntil[i]
 }
 
 // take asks as a front does that finds out at once who is down, and returns when the request may run.
-func (h *homes) take(now time.Time, first bool) (time.Time, bool) {
+func (h *replicaSet) take(now time.Time, first bool) (time.Time, bool) {
 	granted, asked := 0, 0
 	var delay time.Duration
 	for i := range h.buckets {
 		if asked == 3 {
 			break
 		}
-		if now.Before(h.down[i]) {
+		if now.Before(h.downUntil[i]) {
 			continue
 		}
 		asked++
@@ -70,16 +70,16 @@
 			h.buckets[i].StandIn(now)
 		}
 		h.buckets[i].SetLimit(h.limit, h.version, now)
-		if h.held.After(now) {
-			h.buckets[i].NoteReserved(h.held.Sub(now), now)
+		if h.reservedUntil.After(now) {
+			h.buckets[i].NoteReserved(h.reservedUntil.Sub(now), now)
 		}
 		if answer := h.buckets[i].Take(first, now); answer.Granted {
 			granted++
 			delay = max(delay, answer.Wait)
 		}
 	}
-	if at := now.Add(delay); granted >= 2 && at.After(h.held) {
-		h.held = at
+	if at := now.Add(delay); granted >= 2 && at.After(h.reservedUntil) {
+		h.reservedUntil = at
 	}
 	return now.Add(delay), granted >= 2
 }
@@ -91,7 +91,7 @@
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		rate := 1 + r.Float64()*float64(1+r.IntN(300))
-		h := &homes{r: r, limit: quota.Limit{PerSecond: rate, Burst: rate * 2 * r.Float64()}, version: 1}
+		h := &replicaSet{r: r, limit: quota.Limit{PerSecond: rate, Burst: rate * 2 * r.Float64()}, version: 1}
 		now := time.Unix(0, 0)
 		demand := rate * 12 * r.Float64()
 		var ran []time.Time
@@ -109,13 +109,13 @@
 				ran = append(ran, at)
 			}
 		}
-		n := most(ran, tolerance.Window)
+		n := maxInWindow(ran, tolerance.Window)
 		assert.Assert(t, float64(n) <= allowed(h.limit), "seed %d: %d requests of %.1f in a window of %+v, kills %v", seed, n, allowed(h.limit), h.limit, kills)
 	}
 }
 
 // kill ends one home, two, or all five.
-func (h *homes) kill(now time.Time) {
+func (h *replicaSet) kill(now time.Time) {
 	for i := range [...]int{1, 2, 5}[h.r.IntN(3)] {
 		h.restart((i+h.r.IntN(5))%5, now, time.Duration(h.r.IntN(2000))*time.Millisecond)
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestCheckerSeesATenthTooMuch: the checker of windows finds a limiter that grants a tenth more than is borne.
-func TestCheckerSeesATenthTooMuch(t *testing.T) {
+// TestWindowCheckDetectsExcess: the checker of windows finds a limiter that grants a tenth more than is borne.
+func TestWindowCheckDetectsExcess(t *testing.T) {
 	for _, rate := range []float64{5, 50, 300} {
 		limit := quota.Limit{PerSecond: rate, Burst: rate}
 		var ran []time.Time
@@ -136,7 +136,7 @@
 		for at := time.Unix(0, 0); at.Before(time.Unix(20, 0)); at = at.Add(pause) {
 			ran = append(ran, at)
 		}
-		assert.Assert(t, float64(most(ran, tolerance.Window)) > allowed(limit), fmt.Sprint(rate))
+		assert.Assert(t, float64(maxInWindow(ran, tolerance.Window)) > allowed(limit), fmt.Sprint(rate))
 	}
 }
 
