--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -20,13 +20,13 @@
 var ErrNoSlot = errs.New("no place at a server in time")
 
 const (
-	// rateMemory is the time over which rates of calls are taken.
-	rateMemory = time.Second
-	// calmTime is how long nothing must have waited before programs tell what they need.
-	calmTime = 2 * time.Second
-	// longestReturn bounds how long a refused caller is told to stay away: programs of a second or two can still end
+	// rateWindow is the time over which rates of calls are taken.
+	rateWindow = time.Second
+	// quietTime is how long nothing must have waited before programs tell what they need.
+	quietTime = 2 * time.Second
+	// maxRetryAfter bounds how long a refused caller is told to stay away: programs of a second or two can still end
 	// in time then.
-	longestReturn = 400 * time.Millisecond
+	maxRetryAfter = 400 * time.Millisecond
 )
 
 // Call is a turn that wants to go to a server of a service.
@@ -52,22 +52,22 @@
 
 // Scheduler lets calls go. Use New.
 type Scheduler struct {
-	mu    sync.Mutex
-	lines map[string]*line
-	// others are the calls that other daemons have under way or waiting, by service.
-	others map[string]int
-	shares map[string]*policy.TimeBudgetShare
+	mu     sync.Mutex
+	queues map[string]*serviceQueue
+	// peerDemand are the calls that other daemons have under way or waiting, by service.
+	peerDemand   map[string]int
+	budgetShares map[string]*policy.TimeBudgetShare
 }
 
-// line is one service's. It is guarded by Gate.mu.
-type line struct {
+// serviceQueue is one service's. It is guarded by Gate.mu.
+type serviceQueue struct {
 	queue   policy.Queue
 	running int
 	slots   int
-	// waited is when a call last had to wait.
-	waited time.Time
-	// all are the calls that were let go, fresh those of new programs.
-	all, fresh rate
+	// lastWait is when a call last had to wait.
+	lastWait time.Time
+	// admitted are the calls that were let go, admittedNew those of new programs.
+	admitted, admittedNew rate
 }
 
 // waiter is a call in the queue.
@@ -79,16 +79,16 @@
 
 // New returns a gate that knows of no other daemon.
 func New() *Scheduler {
-	return &Scheduler{lines: map[string]*line{}, others: map[string]int{}, shares: map[string]*policy.TimeBudgetShare{}}
+	return &Scheduler{queues: map[string]*serviceQueue{}, peerDemand: map[string]int{}, budgetShares: map[string]*policy.TimeBudgetShare{}}
 }
 
 // Demand returns the calls under way and waiting, by service.
-func (g *Scheduler) Demand() map[string]int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (s *Scheduler) Demand() map[string]int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	demand := map[string]int{}
-	for service, l := range g.lines {
-		if n := l.demand(); n > 0 {
+	for service, q := range s.queues {
+		if n := q.demand(); n > 0 {
 			demand[service] = n
 		}
 	}
@@ -96,39 +96,39 @@
 }
 
 // SetPeerDemand tells what other daemons have under way and waiting, by service; nil where that is not known.
-func (g *Scheduler) SetPeerDemand(demand map[string]int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.others = demand
-	for service, l := range g.lines {
-		g.grant(service, l)
+func (s *Scheduler) SetPeerDemand(demand map[string]int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.peerDemand = demand
+	for service, q := range s.queues {
+		s.grant(service, q)
 	}
 }
 
 // Waiting returns how many calls wait, Running how many are under way.
-func (g *Scheduler) Waiting() int { return g.count(func(l *line) int { return l.queue.Len() }) }
+func (s *Scheduler) Waiting() int { return s.count(func(q *serviceQueue) int { return q.queue.Len() }) }
 
 // Running returns how many calls are under way.
-func (g *Scheduler) Running() int { return g.count(func(l *line) int { return l.running }) }
+func (s *Scheduler) Running() int { return s.count(func(q *serviceQueue) int { return q.running }) }
 
-func (g *Scheduler) count(of func(*line) int) int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (s *Scheduler) count(of func(*serviceQueue) int) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	n := 0
-	for _, l := range g.lines {
-		n += of(l)
+	for _, q := range s.queues {
+		n += of(q)
 	}
 	return n
 }
 
 // Acquire returns once the call may go to a server; Leave must be called when it has ended. ErrNoPlace comes at once
 // where the call can't have its turn in time, or when its time has passed.
-func (g *Scheduler) Acquire(ctx context.Context, c *Call) error {
-	w, err := g.join(c)
+func (s *Scheduler) Acquire(ctx context.Context, c *Call) error {
+	w, err := s.enqueue(c)
 	if err != nil || w.isGranted() {
 		return err
 	}
-	late, stopLate := timerAt(g.lateAt(c))
+	late, stopLate := timerAt(s.latestStart(c))
 	defer stopLate()
 	until, stopUntil := timerAt(c.FirstEventBy.Add(-c.UnloadedDuration))
 	defer stopUntil()
@@ -137,13 +137,13 @@
 		case <-w.granted:
 			return nil
 		case <-late:
-			if g.fellBehind(w) {
+			if s.downgrade(w) {
 				continue
 			}
 		case <-until:
 		case <-ctx.Done():
 		}
-		if g.withdraw(w) {
+		if s.withdraw(w) {
 			return ErrNoSlot
 		}
 		return nil
@@ -159,162 +159,162 @@
 	return t.C, t.Stop
 }
 
-// join lets a call go, queues it, or refuses it.
-func (g *Scheduler) join(c *Call) (*waiter, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// enqueue lets a call go, queues it, or refuses it.
+func (s *Scheduler) enqueue(c *Call) (*waiter, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	l := g.line(c.Service)
-	l.slots = c.Slots
+	q := s.queueOf(c.Service)
+	q.slots = c.Slots
 	w := &waiter{call: c, granted: make(chan struct{})}
-	g.push(l, w, now)
-	g.grant(c.Service, l)
+	s.push(q, w, now)
+	s.grant(c.Service, q)
 	if w.isGranted() {
 		return w, nil
 	}
-	l.waited = now
-	if !g.inTime(l, w, now) {
-		l.queue.Remove(w.queued)
+	q.lastWait = now
+	if !s.canStartInTime(q, w, now) {
+		q.queue.Remove(w.queued)
 		return nil, ErrNoSlot
 	}
 	return w, nil
 }
 
-// inTime tells whether a waiting call can expect its turn before it is of no use.
-func (g *Scheduler) inTime(l *line, w *waiter, now time.Time) bool {
-	left, rate := w.call.FirstEventBy.Add(-w.call.UnloadedDuration).Sub(now), l.all.read(now)
+// canStartInTime tells whether a waiting call can expect its turn before it is of no use.
+func (s *Scheduler) canStartInTime(q *serviceQueue, w *waiter, now time.Time) bool {
+	left, rate := w.call.FirstEventBy.Add(-w.call.UnloadedDuration).Sub(now), q.admitted.read(now)
 	if w.queued.Class == policy.NewOnTime {
-		rate = l.fresh.read(now)
-		if late := g.lateAtLocked(w.call); !late.IsZero() {
+		rate = q.admittedNew.read(now)
+		if late := s.latestStartLocked(w.call); !late.IsZero() {
 			left = min(left, late.Sub(now))
 		}
 	}
-	return policy.InTime(l.queue.Ahead(w.queued), rate, left)
+	return policy.InTime(q.queue.Ahead(w.queued), rate, left)
 }
 
-// lateAt returns from when on the call's program can't end in time; zero where that is not known.
-func (g *Scheduler) lateAt(c *Call) time.Time {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.lateAtLocked(c)
+// latestStart returns from when on the call's program can't end in time; zero where that is not known.
+func (s *Scheduler) latestStart(c *Call) time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.latestStartLocked(c)
 }
 
-func (g *Scheduler) lateAtLocked(c *Call) time.Time {
+func (s *Scheduler) latestStartLocked(c *Call) time.Time {
 	if c.Deadline.IsZero() {
 		return time.Time{}
 	}
 	need := c.UnloadedDuration
 	if !c.ProgramStarted {
-		need = max(need, g.share(c.Route).Need(c.TimeBudget))
+		need = max(need, s.budgetShare(c.Route).Need(c.TimeBudget))
 	}
 	return c.Deadline.Add(-need)
 }
 
 // push queues a call by how its program stands.
-func (g *Scheduler) push(l *line, w *waiter, now time.Time) {
-	late := g.lateAtLocked(w.call)
+func (s *Scheduler) push(q *serviceQueue, w *waiter, now time.Time) {
+	late := s.latestStartLocked(w.call)
 	w.queued = &policy.QueuedCall{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, LatestStart: late,
 		Class: policy.ClassOf(w.call.ProgramStarted, !late.IsZero() && !now.Before(late))}
-	l.queue.Push(w.queued)
+	q.queue.Push(w.queued)
 }
 
 // grant lets as many calls go as this daemon's share of the slots allows.
-func (g *Scheduler) grant(service string, l *line) {
-	for l.queue.Len() > 0 && l.running < policy.SlotShare(l.slots, l.demand(), g.others[service]) {
-		next := l.queue.Pop()
+func (s *Scheduler) grant(service string, q *serviceQueue) {
+	for q.queue.Len() > 0 && q.running < policy.SlotShare(q.slots, q.demand(), s.peerDemand[service]) {
+		next := q.queue.Pop()
 		now := time.Now()
-		l.running++
-		l.all.add(now)
+		q.running++
+		q.admitted.add(now)
 		if next.Class == policy.NewOnTime {
-			l.fresh.add(now)
+			q.admittedNew.add(now)
 		}
 		close(next.Value.(*waiter).granted)
 	}
 }
 
-// fellBehind puts a call whose program can't end in time any more behind those that can. It returns false for a
+// downgrade puts a call whose program can't end in time any more behind those that can. It returns false for a
 // call of a new program, which is given up: it would be late whatever comes.
-func (g *Scheduler) fellBehind(w *waiter) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (s *Scheduler) downgrade(w *waiter) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if w.isGranted() {
 		return true
 	}
 	if !w.call.ProgramStarted {
 		return false
 	}
-	l := g.line(w.call.Service)
-	l.queue.Remove(w.queued)
-	g.push(l, w, time.Now())
-	g.grant(w.call.Service, l)
+	q := s.queueOf(w.call.Service)
+	q.queue.Remove(w.queued)
+	s.push(q, w, time.Now())
+	s.grant(w.call.Service, q)
 	return true
 }
 
 // withdraw takes a call out of the queue; false where it has been let go meanwhile.
-func (g *Scheduler) withdraw(w *waiter) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (s *Scheduler) withdraw(w *waiter) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if w.isGranted() {
 		return false
 	}
-	l := g.line(w.call.Service)
-	l.queue.Remove(w.queued)
-	g.grant(w.call.Service, l)
+	q := s.queueOf(w.call.Service)
+	q.queue.Remove(w.queued)
+	s.grant(w.call.Service, q)
 	return true
 }
 
 // Release tells that a call which was let go has ended.
-func (g *Scheduler) Release(c *Call) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	l := g.line(c.Service)
-	l.running--
-	g.grant(c.Service, l)
+func (s *Scheduler) Release(c *Call) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	q := s.queueOf(c.Service)
+	q.running--
+	s.grant(c.Service, q)
 }
 
 // ObserveCompletion tells that a call was answered whole. While nothing waits, programs show what share of their time they
 // need.
-func (g *Scheduler) ObserveCompletion(c *Call) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (s *Scheduler) ObserveCompletion(c *Call) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	if c.TimeBudget == 0 || c.Deadline.IsZero() || now.Sub(g.line(c.Service).waited) < calmTime {
+	if c.TimeBudget == 0 || c.Deadline.IsZero() || now.Sub(s.queueOf(c.Service).lastWait) < quietTime {
 		return
 	}
-	g.share(c.Route).Observe(1 - c.Deadline.Sub(now).Seconds()/c.TimeBudget.Seconds())
+	s.budgetShare(c.Route).Observe(1 - c.Deadline.Sub(now).Seconds()/c.TimeBudget.Seconds())
 }
 
 // RetryAfter returns after how long a refused call may find a place: when the next of its kind should be let go.
-func (g *Scheduler) RetryAfter(c *Call) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	l := g.line(c.Service)
-	r := &l.all
+func (s *Scheduler) RetryAfter(c *Call) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	q := s.queueOf(c.Service)
+	r := &q.admitted
 	if !c.ProgramStarted {
-		r = &l.fresh
+		r = &q.admittedNew
 	}
-	return policy.QueueDelay(1, r.read(time.Now()), longestReturn)
+	return policy.QueueDelay(1, r.read(time.Now()), maxRetryAfter)
 }
 
-func (g *Scheduler) line(service string) *line {
-	l := g.lines[service]
-	if l == nil {
-		l = &line{}
-		g.lines[service] = l
+func (s *Scheduler) queueOf(service string) *serviceQueue {
+	q := s.queues[service]
+	if q == nil {
+		q = &serviceQueue{}
+		s.queues[service] = q
 	}
-	return l
+	return q
 }
 
-func (g *Scheduler) share(route string) *policy.TimeBudgetShare {
-	s := g.shares[route]
-	if s == nil {
-		s = &policy.TimeBudgetShare{}
-		g.shares[route] = s
+func (g *Scheduler) budgetShare(route string) *policy.TimeBudgetShare {
+	share := g.budgetShares[route]
+	if share == nil {
+		share = &policy.TimeBudgetShare{}
+		g.budgetShares[route] = share
 	}
-	return s
+	return share
 }
 
-func (l *line) demand() int { return l.running + l.queue.Len() }
+func (q *serviceQueue) demand() int { return q.running + q.queue.Len() }
 
 func (w *waiter) isGranted() bool {
 	select {
@@ -332,7 +332,7 @@
 }
 
 func (r *rate) add(now time.Time) {
-	r.events = r.read(now)*rateMemory.Seconds() + 1
+	r.events = r.read(now)*rateWindow.Seconds() + 1
 	r.at = now
 }
 
@@ -340,5 +340,5 @@
 	if r.at.IsZero() {
 		return 0
 	}
-	return r.events * math.Exp(-now.Sub(r.at).Seconds()/rateMemory.Seconds()) / rateMemory.Seconds()
+	return r.events * math.Exp(-now.Sub(r.at).Seconds()/rateWindow.Seconds()) / rateWindow.Seconds()
 }
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -27,38 +27,38 @@
 }
 
 // fill lets as many calls go as there is room for.
-func fill(t *testing.T, g *dispatch.Scheduler) []*dispatch.Call {
+func fill(t *testing.T, s *dispatch.Scheduler) []*dispatch.Call {
 	t.Helper()
-	g.SetPeerDemand(map[string]int{"m": 1000})
+	s.SetPeerDemand(map[string]int{"m": 1000})
 	c := turn(time.Minute)
-	assert.NilError(t, g.Acquire(t.Context(), c))
-	assert.Equal(t, g.Running(), 1, "this daemon's share")
+	assert.NilError(t, s.Acquire(t.Context(), c))
+	assert.Equal(t, s.Running(), 1, "this daemon's share")
 	return []*dispatch.Call{c}
 }
 
-func TestNothingWaitsWhileThereIsRoom(t *testing.T) {
+func TestNoWaitWhileSlotsAreFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
-		g.SetPeerDemand(map[string]int{"m": 1})
+		s := dispatch.New()
+		s.SetPeerDemand(map[string]int{"m": 1})
 		for range 4 {
-			assert.NilError(t, g.Acquire(t.Context(), turn(time.Second)))
+			assert.NilError(t, s.Acquire(t.Context(), turn(time.Second)))
 		}
-		assert.Equal(t, g.Running(), 4)
-		assert.DeepEqual(t, g.Demand(), map[string]int{"m": 4})
+		assert.Equal(t, s.Running(), 4)
+		assert.DeepEqual(t, s.Demand(), map[string]int{"m": 4})
 	})
 }
 
-// TestWhoLosesMostGoesFirst: calls that wait are let go by how their programs stand, not by when they came.
-func TestWhoLosesMostGoesFirst(t *testing.T) {
+// TestQueueOrder: calls that wait are let go by how their programs stand, not by when they came.
+func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
-		running := fill(t, g)
+		s := dispatch.New()
+		running := fill(t, s)
 		var mu sync.Mutex
 		var order []string
 		var wg sync.WaitGroup
 		enter := func(name string, c *dispatch.Call) {
 			wg.Go(func() {
-				if g.Acquire(t.Context(), c) != nil {
+				if s.Acquire(t.Context(), c) != nil {
 					name += " refused"
 				}
 				mu.Lock()
@@ -72,7 +72,7 @@
 		enter("at ease", turn(1500*time.Millisecond))
 		enter("pressed", turn(400*time.Millisecond))
 		for range 4 {
-			g.Release(running[0])
+			s.Release(running[0])
 			synctest.Wait()
 		}
 		wg.Wait()
@@ -80,15 +80,15 @@
 	})
 }
 
-// TestProgramFallsBehindWhileItWaits: from then on it gives way to those that can still end in time.
-func TestProgramFallsBehindWhileItWaits(t *testing.T) {
+// TestLateProgramYields: from then on it gives way to those that can still end in time.
+func TestLateProgramYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
-		running := fill(t, g)
+		s := dispatch.New()
+		running := fill(t, s)
 		var order []string
 		enter := func(name string, c *dispatch.Call) {
 			go func() {
-				assert.Check(t, g.Acquire(t.Context(), c) == nil)
+				assert.Check(t, s.Acquire(t.Context(), c) == nil)
 				order = append(order, name)
 			}()
 			synctest.Wait()
@@ -97,7 +97,7 @@
 		enter("in time", turn(1500*time.Millisecond))
 		time.Sleep(250 * time.Millisecond)
 		for range 2 {
-			g.Release(running[0])
+			s.Release(running[0])
 			synctest.Wait()
 		}
 		assert.DeepEqual(t, order, []string{"in time", "falls behind"})
@@ -108,82 +108,82 @@
 // next in line waits, and is given up when its program can't end in time any more.
 func TestRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
-		fill(t, g)
+		s := dispatch.New()
+		fill(t, s)
 		began := time.Now()
 		waited := make(chan time.Duration, 1)
 		go func() {
-			assert.Check(t, g.Acquire(t.Context(), first(time.Second)) == dispatch.ErrNoSlot)
+			assert.Check(t, s.Acquire(t.Context(), first(time.Second)) == dispatch.ErrNoSlot)
 			waited <- time.Since(began)
 		}()
 		synctest.Wait()
 		late := first(time.Second)
-		assert.ErrorIs(t, g.Acquire(t.Context(), late), dispatch.ErrNoSlot)
+		assert.ErrorIs(t, s.Acquire(t.Context(), late), dispatch.ErrNoSlot)
 		assert.Equal(t, time.Since(began), time.Duration(0))
-		assert.Equal(t, g.RetryAfter(late), 400*time.Millisecond)
+		assert.Equal(t, s.RetryAfter(late), 400*time.Millisecond)
 		assert.Equal(t, <-waited, 400*time.Millisecond, "60% of its second are needed, as long as nothing else was seen")
-		assert.Equal(t, g.Waiting(), 0)
+		assert.Equal(t, s.Waiting(), 0)
 	})
 }
 
-// TestCallerThatLeavesLeavesTheQueue, and a place that was given up goes to the next.
-func TestCallerThatLeavesLeavesTheQueue(t *testing.T) {
+// TestCancelledCallLeavesQueue, and a place that was given up goes to the next.
+func TestCancelledCallLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
-		running := fill(t, g)
+		s := dispatch.New()
+		running := fill(t, s)
 		ctx, cancel := context.WithCancel(t.Context())
 		gone := make(chan error, 1)
-		go func() { gone <- g.Acquire(ctx, turn(time.Second)) }()
+		go func() { gone <- s.Acquire(ctx, turn(time.Second)) }()
 		synctest.Wait()
-		assert.Equal(t, g.Waiting(), 1)
+		assert.Equal(t, s.Waiting(), 1)
 		cancel()
 		assert.ErrorIs(t, <-gone, dispatch.ErrNoSlot)
-		assert.Equal(t, g.Waiting(), 0)
-		g.Release(running[0])
-		assert.Equal(t, g.Running(), 0)
+		assert.Equal(t, s.Waiting(), 0)
+		s.Release(running[0])
+		assert.Equal(t, s.Running(), 0)
 	})
 }
 
-// TestNoWaitBeyondUse: a call whose caller would not get its first event any more is refused.
-func TestNoWaitBeyondUse(t *testing.T) {
+// TestNoWaitBeyondFirstEventDeadline: a call whose caller would not get its first event any more is refused.
+func TestNoWaitBeyondFirstEventDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
-		fill(t, g)
+		s := dispatch.New()
+		fill(t, s)
 		began := time.Now()
-		assert.ErrorIs(t, g.Acquire(t.Context(), turn(time.Minute)), dispatch.ErrNoSlot)
+		assert.ErrorIs(t, s.Acquire(t.Context(), turn(time.Minute)), dispatch.ErrNoSlot)
 		assert.Equal(t, time.Since(began), 1900*time.Millisecond)
 	})
 }
 
-// TestUnknownOthersHoldNothingBack: where no daemon tells, turns go as they come.
-func TestUnknownOthersHoldNothingBack(t *testing.T) {
+// TestUnknownPeerDemandAdmitsCalls: where no daemon tells, turns go as they come.
+func TestUnknownPeerDemandAdmitsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
-		fill(t, g)
+		s := dispatch.New()
+		fill(t, s)
 		done := make(chan error, 1)
-		go func() { done <- g.Acquire(t.Context(), turn(time.Second)) }()
+		go func() { done <- s.Acquire(t.Context(), turn(time.Second)) }()
 		synctest.Wait()
-		g.SetPeerDemand(nil)
+		s.SetPeerDemand(nil)
 		assert.NilError(t, <-done)
 	})
 }
 
-// TestProgramsTellWhatTheyNeed: a new program may wait for what others of its kind did not need of their time, and
+// TestTimeBudgetShareIsLearnt: a new program may wait for what others of its kind did not need of their time, and
 // only calm times tell.
-func TestProgramsTellWhatTheyNeed(t *testing.T) {
+func TestTimeBudgetShareIsLearnt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
+		s := dispatch.New()
 		time.Sleep(3 * time.Second)
 		for i := range 2000 {
 			c := turn(2 * time.Second)
-			assert.NilError(t, g.Acquire(t.Context(), c))
+			assert.NilError(t, s.Acquire(t.Context(), c))
 			time.Sleep(time.Duration(i%10) * 60 * time.Millisecond) // ends after up to 27% of the program's time
-			g.ObserveCompletion(c)
-			g.Release(c)
+			s.ObserveCompletion(c)
+			s.Release(c)
 		}
-		fill(t, g)
+		fill(t, s)
 		began := time.Now()
-		assert.ErrorIs(t, g.Acquire(t.Context(), first(2*time.Second)), dispatch.ErrNoSlot)
+		assert.ErrorIs(t, s.Acquire(t.Context(), first(2*time.Second)), dispatch.ErrNoSlot)
 		waited := time.Since(began)
 		assert.Assert(t, waited > 1300*time.Millisecond && waited < 1600*time.Millisecond, "waited %v", waited)
 	})
@@ -192,8 +192,8 @@
 // TestEveryCallEndsOnce: under a crowd of callers every call is let go or refused, and none is left.
 func TestEveryCallEndsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := dispatch.New()
-		g.SetPeerDemand(map[string]int{"m": 8})
+		s := dispatch.New()
+		s.SetPeerDemand(map[string]int{"m": 8})
 		var mu sync.Mutex
 		var outcomes []bool
 		var wg sync.WaitGroup
@@ -202,10 +202,10 @@
 				time.Sleep(time.Duration(i%20) * 10 * time.Millisecond)
 				c := turn(time.Duration(100+10*(i%50)) * time.Millisecond)
 				c.ProgramStarted = i%3 > 0
-				err := g.Acquire(t.Context(), c)
+				err := s.Acquire(t.Context(), c)
 				if err == nil {
 					time.Sleep(90 * time.Millisecond)
-					g.Release(c)
+					s.Release(c)
 				}
 				mu.Lock()
 				outcomes = append(outcomes, err == nil)
@@ -215,6 +215,6 @@
 		wg.Wait()
 		assert.Equal(t, len(outcomes), 200)
 		assert.Assert(t, slices.Contains(outcomes, true) && slices.Contains(outcomes, false))
-		assert.Equal(t, g.Running()+g.Waiting(), 0)
+		assert.Equal(t, s.Running()+s.Waiting(), 0)
 	})
 }
