--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -20,11 +20,11 @@
 	ejectAfter = 2
 	ejectTime  = 500 * time.Millisecond
 	maxEject   = 4 * time.Second
-	// spareEject is how long a server that was silent is passed over where the work does not need it. One that starts
+	// spareEjectTime is how long a server that was silent is passed over where the work does not need it. One that starts
 	// again meanwhile is another start, of which nothing is known.
-	spareEject = 15 * time.Second
-	// busyTime is how long a server that shed a request is passed over: about one short request.
-	busyTime = 60 * time.Millisecond
+	spareEjectTime = 15 * time.Second
+	// shedBackoff is how long a server that shed a request is passed over: about one short request.
+	shedBackoff = 60 * time.Millisecond
 	// remotePenalty is how many requests in flight a server in another data centre counts more: a trip there
 	// and back costs a few milliseconds, and its bytes have a price.
 	remotePenalty = 1.2
@@ -32,98 +32,98 @@
 	// costs a turn: a trip of 2 to 3 ms and a millisecond of the server's. It decides between servers that are as busy.
 	connectPenalty = 0.05
 	connectSeconds = 0.003
-	// headWeight is the weight of the newest answer in the means of a route, which has many servers.
-	headWeight = 0.02
-	// silentTimes is how many times the route's mean time to the head of an answer a server may be silent
+	// latencyWeight is the weight of the newest answer in the means of a route, which has many servers.
+	latencyWeight = 0.02
+	// unresponsiveFactor is how many times the route's mean time to the head of an answer a server may be silent
 	// before no more is sent to it; at least silentLeast, which is above a busy VM's delays.
-	silentTimes = 6
-	silentLeast = 250 * time.Millisecond
-	// hedgeTimes is the same for asking another server too, where a request may run twice.
-	hedgeTimes = 4
-	hedgeLeast = 60 * time.Millisecond
-	// hedgeUnknown is used before a route's mean is known.
-	hedgeUnknown = 300 * time.Millisecond
-	// maxReportedShare of the servers may be shunned on other daemons' word.
-	maxReportedShare = 0.4
-	// failTogether daemons that a server has failed last, within failingTime, count as one that suspects it: where there are
+	unresponsiveFactor = 6
+	unresponsiveMin    = 250 * time.Millisecond
+	// hedgeFactor is the same for asking another server too, where a request may run twice.
+	hedgeFactor = 4
+	hedgeMin    = 60 * time.Millisecond
+	// hedgeDefault is used before a route's mean is known.
+	hedgeDefault = 300 * time.Millisecond
+	// maxSuspectShare of the servers may be shunned on other daemons' word.
+	maxSuspectShare = 0.4
+	// failQuorum daemons that a server has failed last, within failingTime, count as one that suspects it: where there are
 	// many daemons, none of them meets a server twice soon. Fewer would be met by chance where servers lose a few answers in a
 	// hundred, and for longer a server would stay out of use after it is well.
-	failTogether = 3
-	failingTime  = 3 * time.Second
+	failQuorum    = 3
+	failingWindow = 3 * time.Second
 )
 
-// firstCosts are those of a model server until its service's are learnt: engines so far read 40 to 60 prompt
+// defaultCosts are those of a model server until its service's are learnt: engines so far read 40 to 60 prompt
 // tokens a millisecond, and each call of a daemon on one adds some 8 ms to the next.
-var firstCosts = policy.Costs{PrefillPerToken: 0.00002, SlowdownPerCall: 0.008, CrossDataCentre: 0.004}
+var defaultCosts = policy.Costs{PrefillPerToken: 0.00002, SlowdownPerCall: 0.008, CrossDataCentre: 0.004}
 
-// state is what was seen of one start of a server. It is guarded by Balancer.mu.
-type state struct {
+// serverState is what was seen of one start of a server. It is guarded by Balancer.mu.
+type serverState struct {
 	inFlight int
-	// area is the sum of the calls in flight over time since the last report, in call-seconds, up to changed.
-	area    float64
-	changed time.Time
-	// others are the calls of other daemons, smoothed over their reports.
-	others   float64
-	failures int
+	// callSeconds is the sum of the calls in flight over time since the last report, in call-seconds, up to changed.
+	callSeconds float64
+	updatedAt   time.Time
+	// peerCalls are the calls of other daemons, smoothed over their reports.
+	peerCalls float64
+	failures  int
 	// failedAt is when it failed last; zero once it has answered since.
 	failedAt     time.Time
 	ejectedUntil time.Time
 	busyUntil    time.Time
-	// pace is how its answers' times compare with those of the same routes at all servers.
-	pace policy.RelativeLatency
-	// waiting holds when the requests were sent whose answers have not begun, the oldest first.
-	waiting []time.Time
-	// waitingRoute is the route of the newest of them.
-	waitingRoute string
-	// coldSent is when it got the last request while it was cold.
-	coldSent time.Time
+	// latency is how its answers' times compare with those of the same routes at all servers.
+	latency policy.RelativeLatency
+	// awaitingHead holds when the requests were sent whose answers have not begun, the oldest first.
+	awaitingHead []time.Time
+	// awaitingRoute is the route of the newest of them.
+	awaitingRoute string
+	// lastColdSend is when it got the last request while it was cold.
+	lastColdSend time.Time
 	// parts are prompt parts that it has read.
-	parts *partSet
+	parts *partCache
 	// calls are cancelled, and no more begin, once the server has started again.
-	calls map[*Choice]context.CancelCauseFunc
-	over  bool
+	calls     map[*Choice]context.CancelCauseFunc
+	restarted bool
 }
 
 // Balancer keeps what was seen of servers. Use New.
 type Balancer struct {
 	// name is this daemon's, which differs from all others'.
-	name  string
-	place place.Topology
-	// began is when the balancer was made: turns at cold servers go by the time since.
-	began  time.Time
-	mu     sync.Mutex
-	states map[incarnation.ID]*state
-	// means are the moving means of whole answers' times, by route, in seconds.
-	means map[string]float64
-	// reported tells how many other daemons suspect a server.
-	reported map[incarnation.ID]int
-	// failing tells how many other daemons a server failed last, just now.
-	failing map[incarnation.ID]int
-	// heads are the moving means of the time to the head of an answer, by route, in seconds.
-	heads map[string]float64
-	// ways are the moving means of how long a connection to a data centre takes, in seconds.
-	ways map[string]float64
+	name     string
+	topology place.Topology
+	// startedAt is when the balancer was made: turns at cold servers go by the time since.
+	startedAt time.Time
+	mu        sync.Mutex
+	states    map[incarnation.ID]*serverState
+	// latencies are the moving latencies of whole answers' times, by route, in seconds.
+	latencies map[string]float64
+	// peerSuspects tells how many other daemons suspect a server.
+	peerSuspects map[incarnation.ID]int
+	// peerFailing tells how many other daemons a server failed last, just now.
+	peerFailing map[incarnation.ID]int
+	// headLatencies are the moving means of the time to the head of an answer, by route, in seconds.
+	headLatencies map[string]float64
+	// connectTimes are the moving means of how long a connection to a data centre takes, in seconds.
+	connectTimes map[string]float64
 	// models learn what turns take, by service.
 	models map[string]*policy.CostModel
-	// peers are the other daemons that send to the same servers. Each is taken to have as many calls there as this
+	// peerCount are the other daemons that send to the same servers. Each is taken to have as many calls there as this
 	// one.
-	peers int
+	peerCount int
 	// calls are this daemon's under way at servers, by service; demand is the most of late that all daemons had.
 	calls  map[string]int
 	demand map[string]*policy.DecayingMax
-	// daemons is the most of late that there were, this one among them.
-	daemons policy.RecentMax
-	// demandKnown tells that other daemons have told of theirs.
-	demandKnown bool
-	// othersMean is the mean of the others' calls on a server; reportedAt is when this daemon last told of its own.
-	othersMean float64
-	reportedAt time.Time
+	// daemonCount is the most of late that there were, this one among them.
+	daemonCount policy.RecentMax
+	// peerDemandKnown tells that other daemons have told of theirs.
+	peerDemandKnown bool
+	// meanPeerCalls is the mean of the others' calls on a server; reportedAt is when this daemon last told of its own.
+	meanPeerCalls   float64
+	loadsReportedAt time.Time
 }
 
 // New returns a balancer of a daemon at a place.
 func New(name string, at place.Topology) *Balancer {
-	return &Balancer{name: name, place: at, began: time.Now(), states: map[incarnation.ID]*state{}, means: map[string]float64{}, heads: map[string]float64{},
-		ways: map[string]float64{}, models: map[string]*policy.CostModel{}, calls: map[string]int{}, demand: map[string]*policy.DecayingMax{}}
+	return &Balancer{name: name, topology: at, startedAt: time.Now(), states: map[incarnation.ID]*serverState{}, latencies: map[string]float64{}, headLatencies: map[string]float64{},
+		connectTimes: map[string]float64{}, models: map[string]*policy.CostModel{}, calls: map[string]int{}, demand: map[string]*policy.DecayingMax{}}
 }
 
 // Request is what a choice depends on.
@@ -150,9 +150,9 @@
 	Parts []call.PromptPart
 	// Connected tells whether a connection to a server rests that the request may use; nil where that is not known.
 	Connected func(*catalog.Server) bool
-	// width is how many servers are weighed, mean how many calls of this daemon one has in the mean; Pick sets both.
-	width int
-	mean  float64
+	// subsetSize is how many servers are weighed, mean how many calls of this daemon one has in the mean; Pick sets both.
+	subsetSize   int
+	meanInFlight float64
 }
 
 // Choice is the server chosen. Done must be called once.
@@ -167,29 +167,29 @@
 	// Generated is set to the tokens of a turn's answer before Done is told of it.
 	Generated int64
 
-	balancer  *Balancer
-	state     *state
-	route     string
-	began     time.Time
-	observed  policy.Observation
-	responded bool
-	settled   bool
-	// spare tells that there were more servers than were weighed.
-	spare bool
+	balancer     *Balancer
+	state        *serverState
+	route        string
+	sentAt       time.Time
+	observed     policy.Observation
+	headReceived bool
+	done         bool
+	// hasSpare tells that there were more servers than were weighed.
+	hasSpare bool
 }
 
 // Pick chooses a server, or returns false when none may take the request.
-func (b *Balancer) Pick(ask *Request) (*Choice, bool) {
+func (b *Balancer) Pick(req *Request) (*Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	var best *catalog.Server
 	candidates := 0
-	ask.width = b.width(ask, now)
-	ask.mean = b.meanInFlight(ask)
+	req.subsetSize = b.subsetSize(req, now)
+	req.meanInFlight = b.meanInFlight(req)
 	// Rather a server that others suspect than one that fails here, and rather that one than none at all.
-	for _, trust := range []trust{unsuspected, alive, warming, anyServer} {
-		best, candidates = b.choose(ask, now, trust)
+	for _, trust := range []trust{unsuspected, alive, coldOrAlive, anyServer} {
+		best, candidates = b.choose(req, now, trust)
 		if best != nil {
 			break
 		}
@@ -197,22 +197,22 @@
 	if best == nil {
 		return nil, false
 	}
-	s := b.state(best.ID)
-	c := &Choice{Server: *best, InFlight: s.inFlight, Candidates: candidates, balancer: b, state: s, route: ask.Route, began: now,
-		spare: len(ask.Servers) > ask.width}
-	if ask.PromptTokens > 0 {
-		c.observed = policy.Observation{Uncached: max(0, ask.PromptTokens-s.parts.cached(ask.Parts)),
-			InFlight: float64(s.inFlight), MeanInFlight: ask.mean}
+	s := b.stateOf(best.ID)
+	c := &Choice{Server: *best, InFlight: s.inFlight, Candidates: candidates, balancer: b, state: s, route: req.Route, sentAt: now,
+		hasSpare: len(req.Servers) > req.subsetSize}
+	if req.PromptTokens > 0 {
+		c.observed = policy.Observation{Uncached: max(0, req.PromptTokens-s.parts.cachedTokens(req.Parts)),
+			InFlight: float64(s.inFlight), MeanInFlight: req.meanInFlight}
 		c.Uncached = c.observed.Uncached
 	}
-	s.count(now, 1)
+	s.addInFlight(now, 1)
 	b.calls[best.Service]++
-	if ask.Constraints.Restriction(best) == catalog.RestrictedCold {
-		s.coldSent = now
+	if req.Constraints.Restriction(best) == catalog.RestrictedCold {
+		s.lastColdSend = now
 	}
-	s.waiting = append(s.waiting, now)
-	s.waitingRoute = ask.Route
-	s.parts.read(ask.Parts)
+	s.awaitingHead = append(s.awaitingHead, now)
+	s.awaitingRoute = req.Route
+	s.parts.addPrompt(req.Parts)
 	return c, true
 }
 
@@ -224,8 +224,8 @@
 	unsuspected trust = iota
 	// alive servers look alive here.
 	alive
-	// warming servers are cold or look alive here.
-	warming
+	// coldOrAlive servers are cold or look alive here.
+	coldOrAlive
 	// anyServer takes every server.
 	anyServer
 )
@@ -233,67 +233,67 @@
 // choose returns the cheapest server, or nil, and how many there were to choose from. Servers are weighed in their order up
 // to the width, so that those of a data centre's daemons that are up take all, and beside them the one that holds most of
 // the prompt.
-func (b *Balancer) choose(ask *Request, now time.Time, trust trust) (best *catalog.Server, candidates int) {
-	ignoreReports := trust > unsuspected || b.tooManyReported(ask.Servers)
+func (b *Balancer) choose(req *Request, now time.Time, trust trust) (best *catalog.Server, candidates int) {
+	ignoreReports := trust > unsuspected || b.tooManySuspected(req.Servers)
 	var bestCost float64
-	weigh := func(server *catalog.Server) {
-		if ask.Tried[server.ID] || !b.open(ask, server, now, trust) {
+	consider := func(server *catalog.Server) {
+		if req.Tried[server.ID] || !b.admissible(req, server, now, trust) {
 			return
 		}
-		s := b.seen(server.ID)
-		if trust < anyServer && b.shunned(ask.Route, s, now) || !ignoreReports && b.suspected(server.ID) {
+		s := b.peekState(server.ID)
+		if trust < anyServer && b.avoided(req.Route, s, now) || !ignoreReports && b.suspected(server.ID) {
 			return
 		}
 		candidates++
-		cost := b.cost(ask, server, s) * (1 + 0.02*rand.Float64())
+		cost := b.cost(req, server, s) * (1 + 0.02*rand.Float64())
 		if best == nil || cost < bestCost {
 			best, bestCost = server, cost
 		}
 	}
-	for _, server := range ask.Servers {
-		if candidates >= ask.width {
+	for _, server := range req.Servers {
+		if candidates >= req.subsetSize {
 			break
 		}
-		weigh(server)
+		consider(server)
 	}
-	if holder := b.holder(ask); holder != nil {
-		weigh(holder)
+	if holder := b.cacheHolder(req); holder != nil {
+		consider(holder)
 	}
 	return best, candidates
 }
 
-// open tells whether a server may get the request under its terms. A cold one may where no other does, and in this daemon's
+// admissible tells whether a server may get the request under its terms. A cold one may where no other does, and in this daemon's
 // turn: all of them together must not send it more than it bears.
-func (b *Balancer) open(ask *Request, server *catalog.Server, now time.Time, trust trust) bool {
-	switch ask.Constraints.Restriction(server) {
+func (b *Balancer) admissible(req *Request, server *catalog.Server, now time.Time, trust trust) bool {
+	switch req.Constraints.Restriction(server) {
 	case catalog.Unrestricted:
 		return true
 	case catalog.RestrictedCold:
-		return trust >= warming && b.coldTurn(ask, server, now)
+		return trust >= coldOrAlive && b.inColdWindow(req, server, now)
 	default:
 		return false
 	}
 }
 
 // cost is what a request is expected to take: seconds at a model server, a count of requests elsewhere.
-func (b *Balancer) cost(ask *Request, server *catalog.Server, s *state) float64 {
-	remote, away := b.place.DistanceTo(server.DataCentre) != place.SameDataCentre, b.away(server.DataCentre)
-	connect := ask.Connected != nil && !ask.Connected(server)
-	slowness := s.pace.CostFactor()
-	if ask.PromptTokens == 0 {
+func (b *Balancer) cost(req *Request, server *catalog.Server, s *serverState) float64 {
+	remote, rtt := b.topology.DistanceTo(server.DataCentre) != place.SameDataCentre, b.interRegionRTT(server.DataCentre)
+	connect := req.Connected != nil && !req.Connected(server)
+	costFactor := s.latency.CostFactor()
+	if req.PromptTokens == 0 {
 		requests := float64(s.inFlight + 1)
 		if remote {
-			requests += remotePenalty + away/b.usual(ask.Route)
+			requests += remotePenalty + rtt/b.typicalLatency(req.Route)
 		}
 		if connect {
 			requests += connectPenalty
 		}
-		return requests / float64(max(1, server.Slots)) * slowness
+		return requests / float64(max(1, server.Slots)) * costFactor
 	}
-	cached := s.parts.cached(ask.Parts)
-	engine := policy.Engine{InFlight: s.inFlight, Capacity: 1 << 30, CachedTokens: cached, Remote: remote, PeerCalls: ask.mean * float64(b.peers),
-		PeerCallsAboveMean: s.others - b.othersMean}
-	cost := policy.ExpectedCost(engine, ask.PromptTokens, b.model(server.Service).Costs())*slowness + 0.05*(slowness-1) + away
+	cached := s.parts.cachedTokens(req.Parts)
+	engine := policy.Engine{InFlight: s.inFlight, Capacity: 1 << 30, CachedTokens: cached, Remote: remote, PeerCalls: req.meanInFlight * float64(b.peerCount),
+		PeerCallsAboveMean: s.peerCalls - b.meanPeerCalls}
+	cost := policy.ExpectedCost(engine, req.PromptTokens, b.model(server.Service).Costs())*costFactor + 0.05*(costFactor-1) + rtt
 	if connect {
 		cost += connectSeconds
 	}
@@ -304,46 +304,46 @@
 func (b *Balancer) model(service string) *policy.CostModel {
 	m := b.models[service]
 	if m == nil {
-		m = policy.NewCostModel(firstCosts)
+		m = policy.NewCostModel(defaultCosts)
 		b.models[service] = m
 	}
 	return m
 }
 
 // meanInFlight returns this daemon's calls on one of the servers that are weighed, in the mean.
-func (b *Balancer) meanInFlight(ask *Request) float64 {
-	weighed := ask.Servers[:min(ask.width, len(ask.Servers))]
+func (b *Balancer) meanInFlight(req *Request) float64 {
+	considered := req.Servers[:min(req.subsetSize, len(req.Servers))]
 	sum := 0
-	for _, server := range weighed {
-		sum += b.seen(server.ID).inFlight
+	for _, server := range considered {
+		sum += b.peekState(server.ID).inFlight
 	}
-	return float64(sum) / float64(max(1, len(weighed)))
+	return float64(sum) / float64(max(1, len(considered)))
 }
 
 // SetPeerCount tells how many other daemons send to the same servers.
 func (b *Balancer) SetPeerCount(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.peers = n
-	b.daemons.Observe(time.Now(), n+1)
+	b.peerCount = n
+	b.daemonCount.Observe(time.Now(), n+1)
 }
 
-// shunned tells whether a server is to be left alone for now.
-func (b *Balancer) shunned(route string, s *state, now time.Time) bool {
-	return now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || b.silent(route, s, now)
+// avoided tells whether a server is to be left alone for now.
+func (b *Balancer) avoided(route string, s *serverState, now time.Time) bool {
+	return now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || b.unresponsive(route, s, now)
 }
 
-// silent tells whether a server has kept a request waiting for much longer than is usual.
-func (b *Balancer) silent(route string, s *state, now time.Time) bool {
-	if len(s.waiting) == 0 {
+// unresponsive tells whether a server has kept a request waiting for much longer than is usual.
+func (b *Balancer) unresponsive(route string, s *serverState, now time.Time) bool {
+	if len(s.awaitingHead) == 0 {
 		return false
 	}
-	return b.tooLong(route, s.waiting[0], now)
+	return b.overdue(route, s.awaitingHead[0], now)
 }
 
-// tooLong tells whether a request that was sent at a time has waited for the head of its answer for much longer than is usual.
-func (b *Balancer) tooLong(route string, sent, now time.Time) bool {
-	limit := max(silentLeast, time.Duration(silentTimes*b.heads[route]*float64(time.Second)))
+// overdue tells whether a request that was sent at a time has waited for the head of its answer for much longer than is usual.
+func (b *Balancer) overdue(route string, sent, now time.Time) bool {
+	limit := max(unresponsiveMin, time.Duration(unresponsiveFactor*b.headLatencies[route]*float64(time.Second)))
 	return now.Sub(sent) > limit
 }
 
@@ -351,29 +351,29 @@
 func (b *Balancer) HedgeAfter(route string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	mean := b.heads[route]
+	mean := b.headLatencies[route]
 	if mean == 0 {
-		return hedgeUnknown
+		return hedgeDefault
 	}
-	return max(hedgeLeast, time.Duration(hedgeTimes*mean*float64(time.Second)))
+	return max(hedgeMin, time.Duration(hedgeFactor*mean*float64(time.Second)))
 }
 
-// unseen is the state of every server that this daemon has had nothing to do with. Nobody may change it.
-var unseen = &state{parts: newPartSet()}
+// unknownServer is the state of every server that this daemon has had nothing to do with. Nobody may change it.
+var unknownServer = &serverState{parts: newPartCache()}
 
-// seen returns what is known of a server, without remembering it: of thousands a daemon meets few.
-func (b *Balancer) seen(id incarnation.ID) *state {
+// peekState returns what is known of a server, without remembering it: of thousands a daemon meets few.
+func (b *Balancer) peekState(id incarnation.ID) *serverState {
 	if s := b.states[id]; s != nil {
 		return s
 	}
-	return unseen
+	return unknownServer
 }
 
-// state returns what is known of a server that this daemon has to do with.
-func (b *Balancer) state(id incarnation.ID) *state {
+// stateOf returns what is known of a server that this daemon has to do with.
+func (b *Balancer) stateOf(id incarnation.ID) *serverState {
 	s := b.states[id]
 	if s == nil {
-		s = &state{parts: newPartSet(), changed: time.Now()}
+		s = &serverState{parts: newPartCache(), updatedAt: time.Now()}
 		b.states[id] = s
 	}
 	return s
--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -27,9 +27,9 @@
 	return list
 }
 
-func pick(t *testing.T, b *balance.Balancer, ask balance.Request) *balance.Choice {
+func pick(t *testing.T, b *balance.Balancer, req balance.Request) *balance.Choice {
 	t.Helper()
-	choice, found := b.Pick(&ask)
+	choice, found := b.Pick(&req)
 	assert.Assert(t, found)
 	return choice
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestNeverADrainingOrTriedServer(t *testing.T) {
+func TestDrainingAndTriedServersAreExcluded(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	list := servers(3)
 	list[0].Draining = true
@@ -57,7 +57,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestFailingServerIsPassedOverForAWhile(t *testing.T) {
+func TestFailingServerIsEjectedForATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
 		fail := func() {
@@ -84,7 +84,7 @@
 	})
 }
 
-func TestCallersThatLeaveTellNothing(t *testing.T) {
+func TestAbandonedRequestsDoNotCount(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	for range 10 {
 		pick(t, b, balance.Request{Servers: servers(1)}).Done(balance.Abandoned)
@@ -96,31 +96,31 @@
 	assert.Equal(t, len(seen), 2)
 }
 
-// TestTurnsGoWhereTheirPromptIs: unless that server is far busier.
-func TestTurnsGoWhereTheirPromptIs(t *testing.T) {
+// TestTurnsPreferCachedPrompt: unless that server is far busier.
+func TestTurnsPreferCachedPrompt(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	b.RecordCached(turn.CachedPrompt{Server: id("2"), Part: "own", Held: 3800})
-	ask := balance.Request{Servers: servers(4), PromptTokens: 4000, Parts: []call.PromptPart{{ID: "own", Tokens: 4000}}}
+	req := balance.Request{Servers: servers(4), PromptTokens: 4000, Parts: []call.PromptPart{{ID: "own", Tokens: 4000}}}
 	for range 4 {
-		assert.Equal(t, pick(t, b, ask).Server.ID, id("2"))
+		assert.Equal(t, pick(t, b, req).Server.ID, id("2"))
 	}
 	for range 30 {
-		pick(t, b, ask)
+		pick(t, b, req)
 	}
 	counts := map[incarnation.ID]int{}
 	for range 20 {
-		counts[pick(t, b, ask).Server.ID]++
+		counts[pick(t, b, req).Server.ID]++
 	}
 	assert.Assert(t, counts[id("2")] < 20, "all of 20 turns went to a server with over 30 in flight")
 }
 
 func TestSharedPartsAreRemembered(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
-	ask := balance.Request{Servers: servers(6), PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2500}, {ID: "own", Tokens: 500}}}
-	first := pick(t, b, ask)
+	req := balance.Request{Servers: servers(6), PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2500}, {ID: "own", Tokens: 500}}}
+	first := pick(t, b, req)
 	first.Done(balance.Answered)
-	ask.Parts = []call.PromptPart{{ID: "shared", Tokens: 2500}, {ID: "another", Tokens: 500}}
-	assert.Equal(t, pick(t, b, ask).Server.ID, first.Server.ID)
+	req.Parts = []call.PromptPart{{ID: "shared", Tokens: 2500}, {ID: "another", Tokens: 500}}
+	assert.Equal(t, pick(t, b, req).Server.ID, first.Server.ID)
 }
 
 func TestForgetsServersThatAreGone(t *testing.T) {
@@ -132,29 +132,29 @@
 	assert.Equal(t, pick(t, b, balance.Request{Servers: servers(1)}).InFlight, 0)
 }
 
-// TestSilentServerGetsNoMore: a server that keeps one request waiting for much longer than is usual is passed
+// TestUnresponsiveServerIsAvoided: a server that keeps one request waiting for much longer than is usual is passed
 // over until it answers.
-func TestSilentServerGetsNoMore(t *testing.T) {
+func TestUnresponsiveServerIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
-		ask := balance.Request{Route: "r", Servers: servers(2)}
+		req := balance.Request{Route: "r", Servers: servers(2)}
 		for range 20 {
-			choice := pick(t, b, ask)
+			choice := pick(t, b, req)
 			time.Sleep(50 * time.Millisecond)
 			choice.HeadReceived()
 			choice.Done(balance.Answered)
 		}
-		silent := pick(t, b, ask)
+		unresponsive := pick(t, b, req)
 		time.Sleep(310 * time.Millisecond)
 		for range 5 {
-			assert.Assert(t, pick(t, b, ask).Server.ID != silent.Server.ID)
+			assert.Assert(t, pick(t, b, req).Server.ID != unresponsive.Server.ID)
 		}
-		silent.HeadReceived()
-		assert.Equal(t, pick(t, b, ask).Server.ID, silent.Server.ID)
+		unresponsive.HeadReceived()
+		assert.Equal(t, pick(t, b, req).Server.ID, unresponsive.Server.ID)
 	})
 }
 
-func TestHedgeFollowsTheRoutesTimes(t *testing.T) {
+func TestHedgeDelayFollowsRouteLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
 		unknown := b.HedgeAfter("r")
@@ -170,9 +170,9 @@
 	})
 }
 
-// TestOthersWordCounts: a server that others suspect gets nothing, unless too many are suspected or no other
+// TestPeerSuspicionCounts: a server that others suspect gets nothing, unless too many are suspected or no other
 // is left.
-func TestOthersWordCounts(t *testing.T) {
+func TestPeerSuspicionCounts(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	b.SetPeerReports(map[incarnation.ID]int{id("0"): 1}, nil)
 	for range 20 {
@@ -187,8 +187,8 @@
 	assert.Equal(t, len(seen), 4)
 }
 
-// TestCutOffDaemonSuspectsNobody: where most servers seem dead, the daemon's own network is the likelier cause.
-func TestCutOffDaemonSuspectsNobody(t *testing.T) {
+// TestPartitionedDaemonSuspectsNobody: where most servers seem dead, the daemon's own network is the likelier cause.
+func TestPartitionedDaemonSuspectsNobody(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	fail := func(place int) {
 		for range 2 {
@@ -205,9 +205,9 @@
 	assert.Equal(t, len(b.Suspects()), 0)
 }
 
-// TestPromptsAreReadAnewWhereNobodyWaits: to leave the server that holds a short prompt costs nothing on idle
+// TestCacheMattersUnderLoad: to leave the server that holds a short prompt costs nothing on idle
 // servers, and holds others up on busy ones.
-func TestPromptsAreReadAnewWhereNobodyWaits(t *testing.T) {
+func TestCacheMattersUnderLoad(t *testing.T) {
 	for peers, stays := range map[int]bool{0: false, 50: true} {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
 		b.SetPeerCount(peers)
@@ -216,25 +216,25 @@
 			pick(t, b, balance.Request{Servers: list, PromptTokens: 100})
 		}
 		b.RecordCached(turn.CachedPrompt{Server: id("1"), Part: "own", Held: 300})
-		ask := balance.Request{Servers: list[1:2], PromptTokens: 400, Parts: []call.PromptPart{{ID: "own", Tokens: 400}}}
+		req := balance.Request{Servers: list[1:2], PromptTokens: 400, Parts: []call.PromptPart{{ID: "own", Tokens: 400}}}
 		for range 5 { // and more on the one that holds the prompt
-			pick(t, b, ask)
+			pick(t, b, req)
 		}
-		ask.Servers = list
-		assert.Equal(t, pick(t, b, ask).Server.ID == id("1"), stays, "with %d other daemons", peers)
+		req.Servers = list
+		assert.Equal(t, pick(t, b, req).Server.ID == id("1"), stays, "with %d other daemons", peers)
 	}
 }
 
-// TestConnectedServersComeFirstAmongEquals: a new connection costs a trip, so it is opened where the connected servers are busier.
-func TestConnectedServersComeFirstAmongEquals(t *testing.T) {
+// TestConnectedServersArePreferred: a new connection costs a trip, so it is opened where the connected servers are busier.
+func TestConnectedServersArePreferred(t *testing.T) {
 	for _, tokens := range []int64{0, 100} {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
 		connected := func(s *catalog.Server) bool { return s.ID == id("3") }
-		ask := balance.Request{Servers: servers(20), PromptTokens: tokens, Connected: connected}
-		first := pick(t, b, ask)
+		req := balance.Request{Servers: servers(20), PromptTokens: tokens, Connected: connected}
+		first := pick(t, b, req)
 		assert.Equal(t, first.Server.ID, id("3"))
-		assert.Assert(t, pick(t, b, ask).Server.ID != id("3"), "the connected server has a request more than the others")
+		assert.Assert(t, pick(t, b, req).Server.ID != id("3"), "the connected server has a request more than the others")
 		first.Done(balance.Answered)
-		assert.Equal(t, pick(t, b, ask).Server.ID, id("3"))
+		assert.Equal(t, pick(t, b, req).Server.ID, id("3"))
 	}
 }
--- a/internal/front/balance/cold.go
+++ b/internal/front/balance/cold.go
@@ -7,12 +7,12 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// coldTurn tells whether it is this daemon's turn to send a request to a cold server. It never is before the daemon knows how
+// inColdWindow tells whether it is this daemon's turn to send a request to a cold server. It never is before the daemon knows how
 // many there are.
-func (b *Balancer) coldTurn(ask *Request, server *catalog.Server, now time.Time) bool {
-	if !b.demandKnown {
+func (b *Balancer) inColdWindow(req *Request, server *catalog.Server, now time.Time) bool {
+	if !b.peerDemandKnown {
 		return false
 	}
-	turn := policy.ColdSendWindow{Daemon: b.name, Server: server.ID.String(), Daemons: float64(b.daemons.Read()), PerSecond: ask.ColdPerSecond}
-	return turn.Open(now.Sub(b.began), now.Sub(b.seen(server.ID).coldSent))
+	window := policy.ColdSendWindow{Daemon: b.name, Server: server.ID.String(), Daemons: float64(b.daemonCount.Read()), PerSecond: req.ColdPerSecond}
+	return window.Open(now.Sub(b.startedAt), now.Sub(b.peekState(server.ID).lastColdSend))
 }
--- a/internal/front/balance/cold_test.go
+++ b/internal/front/balance/cold_test.go
@@ -39,16 +39,16 @@
 	return most
 }
 
-// returnCold lets daemons send perSecond requests a second to warm servers and to cold ones that have just come, all at once
+// simulateColdStart lets daemons send perSecond requests a second to warm servers and to cold ones that have just come, all at once
 // at the start, and returns what the cold ones got. bounded tells whether the cold ones' service names a bound.
-func returnCold(t *testing.T, seed uint64, daemons, warm, cold, perSecond int, bounded bool) (got arrivals, refused int) {
+func simulateColdStart(t *testing.T, seed uint64, daemons, warm, cold, perSecond int, bounded bool) (got arrivals, refused int) {
 	random := rand.New(rand.NewPCG(seed, 9))
-	var crowd []*balance.Balancer
+	var balancers []*balance.Balancer
 	for i := range daemons {
 		b := balance.New(fmt.Sprint("front-", seed, "-", i), place.Topology{DataCentre: "here"})
 		b.SetPeerCount(daemons - 1)
 		b.SetPeerDemand(map[string]int{"svc": perSecond / 10})
-		crowd = append(crowd, b)
+		balancers = append(balancers, b)
 	}
 	coldUntil := map[incarnation.ID]time.Time{}
 	list := servers(warm + cold)
@@ -65,9 +65,9 @@
 			n = 3 * daemons // every daemon has turns that wait
 		}
 		for range n {
-			ask := balance.Request{Route: "r", Servers: list, DataCentres: 1, PromptTokens: 100, ColdPerSecond: coldPerSecond,
+			req := balance.Request{Route: "r", Servers: list, DataCentres: 1, PromptTokens: 100, ColdPerSecond: coldPerSecond,
 				Constraints: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}}
-			choice, found := crowd[random.IntN(daemons)].Pick(&ask)
+			choice, found := balancers[random.IntN(daemons)].Pick(&req)
 			if !found {
 				refused++
 				continue
@@ -83,17 +83,17 @@
 	return got, refused
 }
 
-// TestColdServersGetNoMoreThanTheyBear: over all daemons, in any second, with warm servers beside them and without.
-func TestColdServersGetNoMoreThanTheyBear(t *testing.T) {
+// TestColdServersAreNotOverloaded: over all daemons, in any second, with warm servers beside them and without.
+func TestColdServersAreNotOverloaded(t *testing.T) {
 	for _, daemons := range []int{8, 62, 259} {
 		for seed := range uint64(5) {
 			synctest.Test(t, func(t *testing.T) {
-				got, refused := returnCold(t, seed, daemons, 30, 15, 600, true)
+				got, refused := simulateColdStart(t, seed, daemons, 30, 15, 600, true)
 				assert.Equal(t, len(got), 0, "warm servers take all")
 				assert.Equal(t, refused, 0)
 			})
 			synctest.Test(t, func(t *testing.T) {
-				got, _ := returnCold(t, seed, daemons, 0, 15, 600, true)
+				got, _ := simulateColdStart(t, seed, daemons, 0, 15, 600, true)
 				worst := got.worst()
 				assert.Assert(t, float64(worst) <= coldMost, "%d daemons, seed %d: %d in a second", daemons, seed, worst)
 				assert.Assert(t, worst > 0, "they are used")
@@ -102,16 +102,16 @@
 	}
 }
 
-// TestTheCheckOfColdServersFinds what goes wrong where nothing bounds them.
-func TestTheCheckOfColdServersFinds(t *testing.T) {
+// TestColdOverloadIsDetected what goes wrong where nothing bounds them.
+func TestColdOverloadIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got, _ := returnCold(t, 1, 62, 0, 3, 600, false)
+		got, _ := simulateColdStart(t, 1, 62, 0, 3, 600, false)
 		assert.Assert(t, float64(got.worst()) > coldMost)
 	})
 }
 
-// TestColdServersWaitForWordOfOthers: a daemon that does not know how many there are sends them nothing.
-func TestColdServersWaitForWordOfOthers(t *testing.T) {
+// TestColdServersUnusedBeforePeersAreKnown: a daemon that does not know how many there are sends them nothing.
+func TestColdServersUnusedBeforePeersAreKnown(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	list := servers(3)
 	coldUntil := map[incarnation.ID]time.Time{}
--- a/internal/front/balance/connections_test.go
+++ b/internal/front/balance/connections_test.go
@@ -28,25 +28,25 @@
 	{"sync", 208 * time.Millisecond, 0.1},
 }
 
-// resting keeps which servers a daemon has a resting connection to.
-type resting struct {
+// idleConnections keeps which servers a daemon has a idleConnections connection to.
+type idleConnections struct {
 	mu     sync.Mutex
 	since  map[incarnation.ID]time.Time
 	opened int
 }
 
-// keptFor is how long a server keeps a connection that rests.
-const keptFor = 4 * time.Second
+// idleTimeout is how long a server keeps a connection that rests.
+const idleTimeout = 4 * time.Second
 
-func (r *resting) has(server *catalog.Server) bool {
+func (r *idleConnections) has(server *catalog.Server) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, there := r.since[server.ID]
-	return there && time.Since(at) < keptFor
+	return there && time.Since(at) < idleTimeout
 }
 
 // take uses the resting connection, or opens one.
-func (r *resting) take(server *catalog.Server) {
+func (r *idleConnections) take(server *catalog.Server) {
 	if !r.has(server) {
 		r.opened++
 	}
@@ -55,7 +55,7 @@
 	delete(r.since, server.ID)
 }
 
-func (r *resting) put(server *catalog.Server) {
+func (r *idleConnections) put(server *catalog.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.since[server.ID] = time.Now()
@@ -73,7 +73,7 @@
 			list = append(list, &catalog.Server{ID: id(fmt.Sprint(i)), Service: "svc", DataCentre: fmt.Sprint("dc", i/29), Slots: 6})
 		}
 		b := balance.New("front", place.Topology{DataCentre: "dc0"})
-		connections := &resting{since: map[incarnation.ID]time.Time{}}
+		connections := &idleConnections{since: map[incarnation.ID]time.Time{}}
 		calls := 0
 		for began := time.Now(); time.Since(began) < time.Minute; {
 			time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Second) / 8))
--- a/internal/front/balance/connecttime_test.go
+++ b/internal/front/balance/connecttime_test.go
@@ -19,7 +19,7 @@
 func TestTurnsStayInTheirRegion(t *testing.T) {
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	list := []*catalog.Server{{ID: id("home"), Service: "svc", DataCentre: "a2", Slots: 8}, {ID: id("away"), Service: "svc", DataCentre: "b1", Slots: 8}}
-	ask := func() balance.Request {
+	req := func() balance.Request {
 		return balance.Request{Route: "r", Servers: list, PromptTokens: 900, Parts: []call.PromptPart{{ID: "shared", Tokens: 800}}}
 	}
 	b := balance.New("front", place.Topology{DataCentre: "a1", Regions: regions})
@@ -27,10 +27,10 @@
 		b.RecordConnectTime("b1", 30*time.Millisecond)
 	}
 	b.RecordCached(turn.CachedPrompt{Server: id("away"), Part: "shared", Held: 800})
-	assert.Equal(t, pick(t, b, ask()).Server.ID, id("home"), "800 tokens are read in 16 ms")
+	assert.Equal(t, pick(t, b, req()).Server.ID, id("home"), "800 tokens are read in 16 ms")
 	went := 0
 	for range 20 {
-		if pick(t, b, ask()).Server.ID == id("away") {
+		if pick(t, b, req()).Server.ID == id("away") {
 			went++
 		}
 	}
--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -16,7 +16,7 @@
 	"github.com/rookpass/rookpass/internal/front/exchange"
 )
 
-func TestServersThatFailManyAreLeftAlone(t *testing.T) {
+func TestServersFailingManyDaemonsAreAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
 		b.SetPeerReports(nil, map[incarnation.ID]int{id("0"): 3, id("1"): 2})
@@ -107,11 +107,11 @@
 	return failed
 }
 
-// TestManyDaemonsLearnTogetherWhatFails: 259 daemons before 145 servers with 10 requests a second each, of which 11 go down and
+// TestPeerReportsLimitFailures: 259 daemons before 145 servers with 10 requests a second each, of which 11 go down and
 // up each half second for 7 s. No daemon meets one of them twice soon. Each try at one that is down fails a caller's call that
 // must not run twice. Where daemons kept it to themselves 315 to 360 tries failed before 57 daemons and more (180 to 210 before
 // 7, which meet them twice); now 115 to 160.
-func TestManyDaemonsLearnTogetherWhatFails(t *testing.T) {
+func TestPeerReportsLimitFailures(t *testing.T) {
 	flapping := func(server int, at time.Duration) bool { return server < 11 && at/(500*time.Millisecond)%2 == 0 }
 	for _, daemons := range []int{7, 57, 259, 400} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -127,17 +127,17 @@
 	}
 }
 
-// TestFewLostAnswersLeaveServersInUse: 87 of 145 servers lose three answers in a hundred. They are not left alone for it.
-func TestFewLostAnswersLeaveServersInUse(t *testing.T) {
+// TestFewLostResponsesLeaveServersInUse: 87 of 145 servers lose three answers in a hundred. They are not left alone for it.
+func TestFewLostResponsesLeaveServersInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCrowd(259, 145, true)
 		c.play(t, 10, 4*time.Second, func(server int, _ time.Duration) bool { return server < 87 && c.random.IntN(100) < 3 })
-		shunned := 0
+		avoided := 0
 		for i := range c.servers {
 			if c.daemons[0].View(c.servers[i].ID).Failing >= 3 {
-				shunned++
+				avoided++
 			}
 		}
-		assert.Assert(t, shunned <= 145/10, "%d servers are left alone", shunned)
+		assert.Assert(t, avoided <= 145/10, "%d servers are left alone", avoided)
 	})
 }
--- a/internal/front/balance/memory_test.go
+++ b/internal/front/balance/memory_test.go
@@ -18,24 +18,24 @@
 	return int64(m.HeapAlloc)
 }
 
-// mostMemory is what a daemon may remember of servers after ten turns, however many servers there are.
-const mostMemory = 64 << 10
+// maxBytes is what a daemon may remember of servers after ten turns, however many servers there are.
+const maxBytes = 64 << 10
 
-// TestMemoryFollowsTheServersMet, and not those that there are.
-func TestMemoryFollowsTheServersMet(t *testing.T) {
+// TestMemoryFollowsUsedServers, and not those that there are.
+func TestMemoryFollowsUsedServers(t *testing.T) {
 	list := servers(10_000)
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	before := liveBytes()
 	for range 10 {
-		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2560}}}
-		b.UnloadedDuration(&ask, 40)
-		choice := pick(t, b, ask)
+		req := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2560}}}
+		b.UnloadedDuration(&req, 40)
+		choice := pick(t, b, req)
 		choice.HeadReceived()
 		choice.Done(balance.Answered)
 	}
 	held := liveBytes() - before
 	t.Logf("%d bytes", held)
-	assert.Assert(t, held <= mostMemory, "%d bytes", held)
+	assert.Assert(t, held <= maxBytes, "%d bytes", held)
 	runtime.KeepAlive(b)
 	runtime.KeepAlive(list)
 }
@@ -46,9 +46,9 @@
 	balancer := balance.New("front", place.Topology{DataCentre: "here"})
 	balancer.SetPeerDemand(map[string]int{"svc": 60})
 	for b.Loop() {
-		ask := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2560}}}
-		balancer.UnloadedDuration(&ask, 40)
-		choice, _ := balancer.Pick(&ask)
+		req := balance.Request{Route: "r", Servers: list, PromptTokens: 3000, Parts: []call.PromptPart{{ID: "shared", Tokens: 2560}}}
+		balancer.UnloadedDuration(&req, 40)
+		choice, _ := balancer.Pick(&req)
 		choice.HeadReceived()
 		choice.Done(balance.Answered)
 	}
--- a/internal/front/balance/outcome.go
+++ b/internal/front/balance/outcome.go
@@ -27,68 +27,68 @@
 	b := c.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c.responded {
+	if c.headReceived {
 		return
 	}
 	c.stopWaiting()
-	blend(b.heads, c.route, time.Since(c.began).Seconds(), headWeight)
+	updateMean(b.headLatencies, c.route, time.Since(c.sentAt).Seconds(), latencyWeight)
 }
 
 // stopWaiting takes the request off those without an answer. It is called with the lock held.
 func (c *Choice) stopWaiting() {
-	if c.responded {
+	if c.headReceived {
 		return
 	}
-	c.responded = true
-	if i := slices.Index(c.state.waiting, c.began); i >= 0 {
-		c.state.waiting = slices.Delete(c.state.waiting, i, i+1)
+	c.headReceived = true
+	if i := slices.Index(c.state.awaitingHead, c.sentAt); i >= 0 {
+		c.state.awaitingHead = slices.Delete(c.state.awaitingHead, i, i+1)
 	}
 }
 
 // Done tells how the request ended.
 func (c *Choice) Done(outcome Outcome) {
-	if c.settled {
+	if c.done {
 		return
 	}
-	c.settled = true
+	c.done = true
 	b := c.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	s := c.state
-	s.count(now, -1)
-	b.ended(c.Server.Service)
+	s.addInFlight(now, -1)
+	b.callEnded(c.Server.Service)
 	delete(s.calls, c)
-	silent := !c.responded && b.tooLong(c.route, c.began, now)
+	unresponsive := !c.headReceived && b.overdue(c.route, c.sentAt, now)
 	c.stopWaiting()
 	switch outcome {
 	case Answered:
 		s.failures = 0
 		s.failedAt = time.Time{}
 		s.ejectedUntil = time.Time{}
-		b.learn(c.route, s, now.Sub(c.began).Seconds())
-		c.teach(now)
+		b.observeLatency(c.route, s, now.Sub(c.sentAt).Seconds())
+		c.observeCost(now)
 	case Shed:
-		s.busyUntil = now.Add(busyTime)
+		s.busyUntil = now.Add(shedBackoff)
 	case Failed:
 		s.failures++
 		s.failedAt = now
-		if until := now.Add(ejectionFor(s.failures, silent, c.spare)); until.After(s.ejectedUntil) {
+		if until := now.Add(ejectionFor(s.failures, unresponsive, c.hasSpare)); until.After(s.ejectedUntil) {
 			s.ejectedUntil = until
 		}
 	case HedgeLost:
-		b.learn(c.route, s, now.Sub(c.began).Seconds())
+		b.observeLatency(c.route, s, now.Sub(c.sentAt).Seconds())
 	case Abandoned:
 	}
 }
 
 // ejectionFor returns how long a server is passed over after so many failures in a row, the last of them in silence or not;
 // spare tells that there are more servers than the work needs.
-func ejectionFor(failures int, silent, spare bool) time.Duration {
+func ejectionFor(failures int, unresponsive, hasSpare bool) time.Duration {
 	switch {
-	case silent && spare: // to try it again costs a request, and to leave it alone nothing
-		return spareEject
-	case silent: // it is more likely dead than unlucky, and the other daemons should hear of it for a while
+	case unresponsive && hasSpare: // to try it again costs a request, and to leave it alone nothing
+		return spareEjectTime
+	case unresponsive: // it is more likely dead than unlucky, and the other daemons should hear of it for a while
 		return maxEject
 	case failures >= ejectAfter:
 		return min(ejectTime<<min(failures-ejectAfter, 4), maxEject)
@@ -97,24 +97,24 @@
 	}
 }
 
-// teach tells the service's model what a turn took. It is called with the lock held.
-func (c *Choice) teach(now time.Time) {
+// observeCost tells the service's model what a turn took. It is called with the lock held.
+func (c *Choice) observeCost(now time.Time) {
 	if c.Generated == 0 {
 		return
 	}
 	c.observed.Generated = c.Generated
-	c.observed.Seconds = now.Sub(c.began).Seconds()
+	c.observed.Seconds = now.Sub(c.sentAt).Seconds()
 	c.balancer.model(c.Server.Service).Observe(c.observed)
 }
 
-// learn compares an answer's time with its route's. It is called with the lock held.
-func (b *Balancer) learn(route string, s *state, seconds float64) {
-	s.pace.Observe(seconds, b.means[route])
-	blend(b.means, route, seconds, headWeight)
+// observeLatency compares an answer's time with its route's. It is called with the lock held.
+func (b *Balancer) observeLatency(route string, s *serverState, seconds float64) {
+	s.latency.Observe(seconds, b.latencies[route])
+	updateMean(b.latencies, route, seconds, latencyWeight)
 }
 
-// blend moves a mean towards a new value; the first value is taken whole.
-func blend(means map[string]float64, name string, value, weight float64) {
+// updateMean moves a mean towards a new value; the first value is taken whole.
+func updateMean(means map[string]float64, name string, value, weight float64) {
 	mean, known := means[name]
 	if !known {
 		means[name] = value
--- a/internal/front/balance/parts.go
+++ b/internal/front/balance/parts.go
@@ -8,57 +8,59 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// partLimit bounds the prompt parts remembered of one server. Engines so far hold 70,000 to 340,000 tokens, and
+// maxParts bounds the prompt parts remembered of one server. Engines so far hold 70,000 to 340,000 tokens, and
 // parts have some 300.
-const partLimit = 1024
+const maxParts = 1024
 
-// partSet remembers what a server has of prompts, forgetting those parts first that were used longest ago, as
+// partCache remembers what a server has of prompts, forgetting those parts first that were used longest ago, as
 // engines do. Forgetting those first that were read first would lose the shared parts.
-type partSet struct {
+type partCache struct {
 	byID  map[string]*list.Element
 	order *list.List // of *heldPart, the one used last in front
 }
 
-// heldPart is a part with the tokens of it that the server holds: the part of a session grows with each turn.
-type heldPart struct {
+// cachedPart is a part with the tokens of it that the server holds: the part of a session grows with each turn.
+type cachedPart struct {
 	id     string
 	tokens int64
 }
 
-func newPartSet() *partSet { return &partSet{byID: map[string]*list.Element{}, order: list.New()} }
+func newPartCache() *partCache {
+	return &partCache{byID: map[string]*list.Element{}, order: list.New()}
+}
 
-// hold notes that the server holds tokens of a part.
-func (p *partSet) hold(id string, tokens int64) {
-	e := p.byID[id]
+// add notes that the server holds tokens of a part.
+func (c *partCache) add(id string, tokens int64) {
+	e := c.byID[id]
 	if e == nil {
-		e = p.order.PushFront(&heldPart{id: id})
-		p.byID[id] = e
+		e = c.order.PushFront(&cachedPart{id: id})
+		c.byID[id] = e
 	}
-	p.order.MoveToFront(e)
-	held := e.Value.(*heldPart)
+	c.order.MoveToFront(e)
+	held := e.Value.(*cachedPart)
 	held.tokens = max(held.tokens, tokens)
-	for p.order.Len() > partLimit {
-		last := p.order.Remove(p.order.Back()).(*heldPart)
-		delete(p.byID, last.id)
+	for c.order.Len() > maxParts {
+		last := c.order.Remove(c.order.Back()).(*cachedPart)
+		delete(c.byID, last.id)
 	}
 }
 
-// read notes that the server reads a prompt.
-func (p *partSet) read(parts []call.PromptPart) {
+// addPrompt notes that the server reads a prompt.
+func (c *partCache) addPrompt(parts []call.PromptPart) {
 	for _, part := range parts {
-		p.hold(part.ID, part.Tokens)
+		c.add(part.ID, part.Tokens)
 	}
 }
 
-// cached returns how many tokens at the start of a prompt the server holds. A part is of use only behind all
+// cachedTokens returns how many tokens at the start of a prompt the server holds. A part is of use only behind all
 // before it, so a server that is known to hold one holds those too.
-func (p *partSet) cached(parts []call.PromptPart) int64 {
+func (c *partCache) cachedTokens(parts []call.PromptPart) int64 {
 	for i, part := range slices.Backward(parts) {
-		e := p.byID[part.ID]
+		e := c.byID[part.ID]
 		if e == nil {
 			continue
 		}
-		tokens := min(part.Tokens, e.Value.(*heldPart).tokens)
+		tokens := min(part.Tokens, e.Value.(*cachedPart).tokens)
 		for _, before := range parts[:i] {
 			tokens += before.Tokens
 		}
@@ -72,6 +74,6 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range places {
-		b.state(p.Server).parts.hold(p.Part, p.Held)
+		b.stateOf(p.Server).parts.add(p.Part, p.Held)
 	}
 }
--- a/internal/front/balance/parts_test.go
+++ b/internal/front/balance/parts_test.go
@@ -13,39 +13,39 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// TestPartsInUseAreNotForgotten: a shared part that comes with every prompt outlives the private ones, however
+// TestPartsInUseAreNotEvicted: a shared part that comes with every prompt outlives the private ones, however
 // many of those there are.
-func TestPartsInUseAreNotForgotten(t *testing.T) {
-	p := newPartSet()
+func TestPartsInUseAreNotEvicted(t *testing.T) {
+	p := newPartCache()
 	private := func(i int) []call.PromptPart {
 		return []call.PromptPart{{ID: "shared", Tokens: 500}, {ID: fmt.Sprint("private-", i), Tokens: 100}}
 	}
-	for i := range 3 * partLimit {
-		p.read(private(i))
+	for i := range 3 * maxParts {
+		p.addPrompt(private(i))
 	}
-	assert.Equal(t, p.cached(private(3*partLimit-1)), int64(600))
-	assert.Equal(t, p.cached(private(0)), int64(500), "the one used longest ago is forgotten")
-	assert.Equal(t, p.order.Len(), partLimit)
+	assert.Equal(t, p.cachedTokens(private(3*maxParts-1)), int64(600))
+	assert.Equal(t, p.cachedTokens(private(0)), int64(500), "the one used longest ago is forgotten")
+	assert.Equal(t, p.order.Len(), maxParts)
 }
 
 // TestSessionsPartGrows: what a server has of a session's part is what it read last, not what the session has now.
 func TestSessionsPartGrows(t *testing.T) {
-	p := newPartSet()
+	p := newPartCache()
 	prompt := func(tokens int64) []call.PromptPart {
 		return []call.PromptPart{{ID: "shared", Tokens: 500}, {ID: "session", Tokens: tokens}}
 	}
-	p.read(prompt(300))
-	assert.Equal(t, p.cached(prompt(900)), int64(800))
-	p.hold("session", 380) // the answer
-	assert.Equal(t, p.cached(prompt(900)), int64(880))
-	p.read(prompt(900))
-	assert.Equal(t, p.cached(prompt(900)), int64(1400))
-	assert.Equal(t, p.cached([]call.PromptPart{{ID: "other", Tokens: 400}, {ID: "new", Tokens: 100}}), int64(0))
+	p.addPrompt(prompt(300))
+	assert.Equal(t, p.cachedTokens(prompt(900)), int64(800))
+	p.add("session", 380) // the answer
+	assert.Equal(t, p.cachedTokens(prompt(900)), int64(880))
+	p.addPrompt(prompt(900))
+	assert.Equal(t, p.cachedTokens(prompt(900)), int64(1400))
+	assert.Equal(t, p.cachedTokens([]call.PromptPart{{ID: "other", Tokens: 400}, {ID: "new", Tokens: 100}}), int64(0))
 }
 
-// TestTurnsGoWhereOthersSentThem: what another daemon says of a session's server decides where its next turn goes,
+// TestTurnsFollowPeerReports: what another daemon says of a session's server decides where its next turn goes,
 // though this daemon has never sent that server any part of the prompt.
-func TestTurnsGoWhereOthersSentThem(t *testing.T) {
+func TestTurnsFollowPeerReports(t *testing.T) {
 	a, b, c := incarnation.ID{Server: "a"}, incarnation.ID{Server: "b"}, incarnation.ID{Server: "c"}
 	list := []*catalog.Server{{ID: a, Slots: 8}, {ID: b, Slots: 8}, {ID: c, Slots: 8}}
 	prompt := []call.PromptPart{{ID: "shared", Tokens: 500}, {ID: "parent", Tokens: 2000}, {ID: "session", Tokens: 700}}
--- a/internal/front/balance/restart.go
+++ b/internal/front/balance/restart.go
@@ -16,7 +16,7 @@
 	b := c.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c.state.over {
+	if c.state.restarted {
 		cancel(ErrRestarted)
 		return
 	}
@@ -37,7 +37,7 @@
 		if other.Server != id.Server || other.Born == 0 || other.Born >= id.Born {
 			continue
 		}
-		s.over = true
+		s.restarted = true
 		for c, cancel := range s.calls {
 			cancel(ErrRestarted)
 			delete(s.calls, c)
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -27,9 +27,9 @@
 	return list
 }
 
-// TestNothingIsCarriedOverToTheNextStart: neither what a server holds of prompts, nor its speed, failures and load, nor what
+// TestNewStartHasNoHistory: neither what a server holds of prompts, nor its speed, failures and load, nor what
 // others say of it.
-func TestNothingIsCarriedOverToTheNextStart(t *testing.T) {
+func TestNewStartHasNoHistory(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	old, new := startsOf("a", 1), startsOf("a", 2)
 	b.RecordCached(turn.CachedPrompt{Server: old[0].ID, Part: "own", Held: 900})
--- a/internal/front/balance/subset.go
+++ b/internal/front/balance/subset.go
@@ -15,29 +15,29 @@
 }
 
 // SetPeerDemand tells what other daemons have under way and waiting, by service.
-func (b *Balancer) SetPeerDemand(others map[string]int) {
+func (b *Balancer) SetPeerDemand(peerDemand map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.demandKnown = true
-	for service, calls := range others {
-		b.peak(service).Observe(now, float64(calls+b.calls[service]))
+	b.peerDemandKnown = true
+	for service, calls := range peerDemand {
+		b.peakDemand(service).Observe(now, float64(calls+b.calls[service]))
 	}
 }
 
-// width returns how many servers are weighed for a request: all before anything is known of the other daemons.
-func (b *Balancer) width(ask *Request, now time.Time) int {
-	if len(ask.Servers) == 0 || !b.demandKnown {
-		return len(ask.Servers)
+// subsetSize returns how many servers are weighed for a request: all before anything is known of the other daemons.
+func (b *Balancer) subsetSize(req *Request, now time.Time) int {
+	if len(req.Servers) == 0 || !b.peerDemandKnown {
+		return len(req.Servers)
 	}
-	service := ask.Servers[0].Service
-	demand := b.peak(service)
+	service := req.Servers[0].Service
+	demand := b.peakDemand(service)
 	demand.Observe(now, float64(b.calls[service]))
-	return policy.SubsetSize(demand.Read(now), ask.DataCentres)
+	return policy.SubsetSize(demand.Read(now), req.DataCentres)
 }
 
-// peak returns the most calls of late that were under way or waiting at a service.
-func (b *Balancer) peak(service string) *policy.DecayingMax {
+// peakDemand returns the most calls of late that were under way or waiting at a service.
+func (b *Balancer) peakDemand(service string) *policy.DecayingMax {
 	p := b.demand[service]
 	if p == nil {
 		p = &policy.DecayingMax{}
@@ -46,8 +46,8 @@
 	return p
 }
 
-// ended counts a call of this daemon as over.
-func (b *Balancer) ended(service string) {
+// callEnded counts a call of this daemon as over.
+func (b *Balancer) callEnded(service string) {
 	if b.calls[service]--; b.calls[service] == 0 {
 		delete(b.calls, service)
 	}
--- a/internal/front/balance/suspects.go
+++ b/internal/front/balance/suspects.go
@@ -7,10 +7,10 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// tooManyReported tells whether others suspect so many servers that the rest could not bear the load.
-func (b *Balancer) tooManyReported(servers []*catalog.Server) bool {
-	most := maxReportedShare * float64(len(servers))
-	if float64(len(b.reported)+len(b.failing)) <= most {
+// tooManySuspected tells whether others suspect so many servers that the rest could not bear the load.
+func (b *Balancer) tooManySuspected(servers []*catalog.Server) bool {
+	limit := maxSuspectShare * float64(len(servers))
+	if float64(len(b.peerSuspects)+len(b.peerFailing)) <= limit {
 		return false
 	}
 	n := 0
@@ -19,19 +19,19 @@
 			n++
 		}
 	}
-	return float64(n) > most
+	return float64(n) > limit
 }
 
 // suspected tells whether other daemons make a server look dead.
 func (b *Balancer) suspected(id incarnation.ID) bool {
-	return b.reported[id] > 0 || b.failing[id] >= failTogether
+	return b.peerSuspects[id] > 0 || b.peerFailing[id] >= failQuorum
 }
 
 // SetPeerReports tells how many other daemons suspect each server, and how many it failed last, just now.
 func (b *Balancer) SetPeerReports(reported, failing map[incarnation.ID]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.reported, b.failing = reported, failing
+	b.peerSuspects, b.peerFailing = reported, failing
 }
 
 // Failing returns the servers that failed this daemon last, within failingTime.
@@ -41,7 +41,7 @@
 	now := time.Now()
 	var failing []incarnation.ID
 	for id, s := range b.states {
-		if !s.failedAt.IsZero() && now.Sub(s.failedAt) < failingTime {
+		if !s.failedAt.IsZero() && now.Sub(s.failedAt) < failingWindow {
 			failing = append(failing, id)
 		}
 	}
@@ -56,11 +56,11 @@
 	now := time.Now()
 	var suspects []incarnation.ID
 	for id, s := range b.states {
-		if now.Before(s.ejectedUntil) || b.silent(s.waitingRoute, s, now) {
+		if now.Before(s.ejectedUntil) || b.unresponsive(s.awaitingRoute, s, now) {
 			suspects = append(suspects, id)
 		}
 	}
-	if float64(len(suspects)) > maxReportedShare*float64(len(b.states)) {
+	if float64(len(suspects)) > maxSuspectShare*float64(len(b.states)) {
 		return nil
 	}
 	return suspects
@@ -81,9 +81,9 @@
 func (b *Balancer) View(id incarnation.ID) View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	view := View{Reported: b.reported[id], Failing: b.failing[id]}
+	view := View{Reported: b.peerSuspects[id], Failing: b.peerFailing[id]}
 	if s := b.states[id]; s != nil {
-		view.InFlight, view.LatencyRatio, view.Ejected = s.inFlight, s.pace.Ratio(), time.Now().Before(s.ejectedUntil)
+		view.InFlight, view.LatencyRatio, view.Ejected = s.inFlight, s.latency.Ratio(), time.Now().Before(s.ejectedUntil)
 	}
 	return view
 }
