--- a/internal/decide/policy/cold.go
+++ b/internal/decide/policy/cold.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// coldUtilisation is how much of what a cold server bears is used: daemons know of one another late.
+	// coldUtilisation is the fraction of a cold server's rate that is used, since daemons learn of one another late.
 	coldUtilisation = 0.6
-	// coldWindowLength is how long a daemon's turn lasts. Were it open for long, all daemons could use theirs in one second.
+	// coldWindowLength is how long a daemon's window is open. Long windows could all be used within the same second.
 	coldWindowLength = 200 * time.Millisecond
 )
 
-// ColdSendWindow spreads what all daemons send to a cold server over time, so that together they stay below what it bears in
-// every second: each has a short turn now and then, at a time that its name and the server's give, and sends one request in it.
+// ColdSendWindow spreads the requests of all daemons to a cold server over time, so that their sum stays below the
+// server's rate in every second: each daemon has a short periodic window, at an offset derived from its name and the
+// server's, and sends one request in it.
 //
-// It answers servers that all start at once, with nothing warm beside them.
+// It matters when all servers start at once and none is warm.
 type ColdSendWindow struct {
 	Daemon, Server string
-	// Daemons is how many send to the server, PerSecond what it bears.
+	// Daemons is how many daemons send to the server, PerSecond how many requests a second it can take.
 	Daemons, PerSecond float64
 }
 
-// period returns the time from one turn to the next.
+// period returns the time from one window to the next.
 func (c ColdSendWindow) period() time.Duration {
 	seconds := max(1, c.Daemons) / (coldUtilisation * c.PerSecond)
 	return max(2*coldWindowLength, time.Duration(math.Ceil(seconds*float64(time.Second))))
 }
 
-// Open tells whether a turn is open at a time, by a steady clock of the daemon's, and has not been used by the request that
-// went last so long ago.
+// Open reports whether the window is open, elapsed on a monotonic clock of the daemon, and has not been used by the
+// last request, which was sent sinceLast ago.
 func (c ColdSendWindow) Open(elapsed, sinceLast time.Duration) bool {
 	if c.PerSecond <= 0 {
 		return false
--- a/internal/decide/policy/keystatus.go
+++ b/internal/decide/policy/keystatus.go
@@ -2,40 +2,41 @@
 
 import "time"
 
-// ConfigAgeLimits tell how old a daemon's configuration may be to accept a caller's key, and to deny one. Zero is no bound.
+// ConfigAgeLimits bound the age of a daemon's configuration for accepting a caller's key, and for denying one. Zero
+// means no limit.
 type ConfigAgeLimits struct {
-	// Accept: a key that was withdrawn longer ago must not be accepted, so a daemon that may have missed its withdrawal
-	// accepts none.
+	// Accept is the largest age at which a key may be accepted: a daemon with an older configuration may have missed
+	// its revocation.
 	Accept time.Duration
-	// Deny: a key that was added longer ago must not be denied, so a daemon that may have missed it says that it is not
-	// sure.
+	// Deny is the largest age at which an unknown key may be denied: a daemon with an older configuration may have
+	// missed its addition.
 	Deny time.Duration
 }
 
-// acceptMargin of the time in which a withdrawal must be in force is left for clocks that run at different speeds, a
-// thousandth at most, and the time between the decision and its being carried out.
+// acceptMargin is the fraction of the revocation delay that is reserved for clock drift, at most 0.1%, and for the
+// time from the decision to its execution.
 const acceptMargin = 0.05
 
-// NewConfigAgeLimits returns the bounds for a withdrawal that must be in force after a time everywhere, and for a change that
-// must be in force after a time at daemons in touch; 0 where there is no such bound.
+// NewConfigAgeLimits returns the limits where a revocation must be in force everywhere after the given time, and a
+// change at all connected daemons; 0 means no limit.
 func NewConfigAgeLimits(revocation, change time.Duration) ConfigAgeLimits {
 	return ConfigAgeLimits{Accept: revocation - time.Duration(acceptMargin*float64(revocation)), Deny: change}
 }
 
-// KeyStatus is what a daemon may say of a caller's key.
+// KeyStatus is what a daemon can say about a caller's key.
 type KeyStatus int
 
-// The proofs.
+// Values of KeyStatus.
 const (
-	// KeyUnknown keys may or may not be in force: nobody may say that they are not, nor act as if they were.
+	// KeyUnknown means that the configuration is too old to tell: the key must be neither accepted nor denied.
 	KeyUnknown KeyStatus = iota
-	// KeyValid keys are an organisation's.
+	// KeyValid means that the key belongs to an organisation.
 	KeyValid
-	// KeyInvalid keys are nobody's.
+	// KeyInvalid means that the key belongs to no organisation.
 	KeyInvalid
 )
 
-// KeyStatus returns what may be said of a key that a configuration of an age has, or has not.
+// KeyStatus returns the status of a key, given whether the configuration contains it and the configuration's age.
 func (l ConfigAgeLimits) KeyStatus(known bool, age time.Duration) KeyStatus {
 	switch {
 	case l.Accept > 0 && age > l.Accept:
--- a/internal/decide/policy/keystatus_test.go
+++ b/internal/decide/policy/keystatus_test.go
@@ -19,11 +19,11 @@
 	}{
 		{true, 0, policy.KeyValid},
 		{true, 4700 * time.Millisecond, policy.KeyValid},
-		{true, 4800 * time.Millisecond, policy.KeyUnknown}, // it may have been withdrawn almost 5 s ago
+		{true, 4800 * time.Millisecond, policy.KeyUnknown}, // the key may have been revoked almost 5 s ago
 		{true, math.MaxInt64, policy.KeyUnknown},
 		{false, 0, policy.KeyInvalid},
 		{false, 2900 * time.Millisecond, policy.KeyInvalid},
-		{false, 3100 * time.Millisecond, policy.KeyUnknown}, // it may have been added 3 s ago
+		{false, 3100 * time.Millisecond, policy.KeyUnknown}, // the key may have been added 3 s ago
 		{false, math.MaxInt64, policy.KeyUnknown},
 	} {
 		assert.Equal(t, bounds.KeyStatus(c.known, c.age), c.want, "known %t, %v old", c.known, c.age)
--- a/internal/decide/policy/latency.go
+++ b/internal/decide/policy/latency.go
@@ -1,24 +1,27 @@
 package policy
 
-// RelativeLatency is how long a server's answers take against what like calls take at all servers of its kind: a moving mean of these
-// ratios, which counts as 1 before the first. Answers of one kind are compared: a server that has just had three calls of 312 ms
-// is no slower than one that had three of 78 ms. The zero value is ready for use.
+// RelativeLatency is the moving average of the ratio of a server's response times to the usual time of like calls on
+// all servers of its kind; 1 before the first observation. Comparing like calls keeps a server that happened to get
+// long ones from counting as slow. The zero value is ready for use.
 type RelativeLatency struct {
-	// excess is the mean ratio less 1.
+	// excess is the average ratio less 1.
 	excess float64
 }
 
 const (
-	// latencyWeight is the weight of the newest answer: a server that has turned five times slower counts as slow after one or two.
+	// latencyWeight is the weight of the newest response: a server that becomes five times slower counts as slow
+	// after one or two responses.
 	latencyWeight = 0.15
-	// maxNormalRatio is up to which mean ratio a server counts as one like the others. Where calls vary by as much as their mean,
-	// the mean of a server that is no slower lies above it after some 5 in 100 answers (TestEqualServersSeldomCountAsSlow).
+	// maxNormalRatio is the average ratio up to which a server counts as normal. Where durations vary by as much as
+	// their mean, a server of normal speed exceeds it after some 5% of its responses
+	// (TestNormalServersRarelyCountAsSlow).
 	maxNormalRatio = 1.5
-	// maxCostFactor bounds how much worse a server counts for having been slow.
+	// maxCostFactor bounds CostFactor.
 	maxCostFactor = 6.0
 )
 
-// Observe takes an answer into account that took so many seconds, where like calls usually take usual; 0 where that is not known.
+// Observe records a response that took the given seconds, where like calls typically take typical; it is ignored
+// where typical is not known (0).
 func (r *RelativeLatency) Observe(seconds, typical float64) {
 	if typical <= 0 {
 		return
@@ -26,10 +29,10 @@
 	r.excess += latencyWeight * (seconds/typical - 1 - r.excess)
 }
 
-// Ratio returns the mean ratio.
+// Ratio returns the average ratio.
 func (r *RelativeLatency) Ratio() float64 { return 1 + r.excess }
 
-// CostFactor returns by which factor the server counts worse than others: 1 unless it is clearly slower.
+// CostFactor returns the factor by which a server's cost is multiplied: 1 unless it is clearly slower than others.
 func (r *RelativeLatency) CostFactor() float64 {
 	if r.Ratio() <= maxNormalRatio {
 		return 1
--- a/internal/decide/policy/latency_test.go
+++ b/internal/decide/policy/latency_test.go
@@ -10,7 +10,8 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// TestNormalServersRarelyCountAsSlow: calls of three kinds, each of which varies by as much as its mean (log-normal).
+// TestNormalServersRarelyCountAsSlow observes calls of three kinds, whose durations vary by as much as their mean
+// (log-normal).
 func TestNormalServersRarelyCountAsSlow(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	sigma := math.Sqrt(math.Ln2)
--- a/internal/decide/policy/lease.go
+++ b/internal/decide/policy/lease.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// LeaseExpiry tells how entries behave that their owners renew, and that a store drops where they don't.
+// LeaseExpiry describes the store entries that owners renew by heartbeat: which outages of the store they can expire
+// in, and how soon they return.
 type LeaseExpiry struct {
-	// MinOutage is the shortest outage of the store in which the entry of a live owner can lapse.
+	// MinOutage is the shortest outage of the store in which the entry of a live owner can expire.
 	MinOutage time.Duration
-	// Renewal is within which of the store's return a live owner has renewed its entry, and word of it is here.
+	// Renewal is how long after the store's return every live owner has renewed its entry and the update has arrived.
 	Renewal time.Duration
 }
 
 const (
-	// expiryHeartbeats is how many heartbeats without a renewal an outage has at least where an entry lapses: three are missed,
-	// and the last one that came may be one older than the outage. Owners beat roughly, so a tenth less.
+	// expiryHeartbeats is the shortest outage in which an entry can expire, in heartbeats: three renewals must be
+	// missed, the last one received may be a heartbeat older than the outage, and heartbeats vary by a tenth.
 	expiryHeartbeats = 1.8
-	// renewalTime is how soon after an outage live owners are back, 2 s, and the time that word of it takes, 0.2 s.
+	// renewalTime is the 2 s within which live owners renew after an outage, and 0.2 s for the update to arrive.
 	renewalTime = 2200 * time.Millisecond
 )
 
-// NewLeaseExpiry returns what holds for owners that renew their entries every heartbeat.
+// NewLeaseExpiry returns the values for owners that renew their entries every heartbeat.
 func NewLeaseExpiry(heartbeat time.Duration) LeaseExpiry {
 	return LeaseExpiry{MinOutage: time.Duration(expiryHeartbeats * float64(heartbeat)), Renewal: renewalTime}
 }
 
-// GraceUntil returns until when missing entries count as those of live owners, where the store's word of last is
-// followed by that of again; the zero time where too little time has passed for entries to lapse. It goes by the age
-// of what is known, not by the time for which the store was noticed to be away: one that is silent is noticed late.
+// GraceUntil returns until when missing entries count as those of live owners, where the store's state was confirmed
+// at lastSeen and next at seenAgain; the zero time if the gap was too short for entries to expire. The gap counts
+// from the confirmed state and not from the detection of the outage, since a store that hangs is detected late.
 func (l LeaseExpiry) GraceUntil(lastSeen, seenAgain time.Time) time.Time {
 	if seenAgain.Sub(lastSeen) < l.MinOutage {
 		return time.Time{}
--- a/internal/decide/policy/lease_test.go
+++ b/internal/decide/policy/lease_test.go
@@ -9,7 +9,7 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// TestGraceUntil: entries are held after outages in which they can lapse, from the store's own first word on.
+// TestGraceUntil checks that missing entries have a grace period only after outages in which they can expire.
 func TestGraceUntil(t *testing.T) {
 	expiry := policy.NewLeaseExpiry(1200 * time.Millisecond)
 	now := time.Now()
@@ -19,8 +19,8 @@
 	}{
 		{500 * time.Millisecond, false},
 		{1800 * time.Millisecond, false}, // an idle watch
-		{2100 * time.Millisecond, false}, // an idle watch and a slow answer
-		{2200 * time.Millisecond, true},  // two heartbeats, roughly
+		{2100 * time.Millisecond, false}, // an idle watch and a slow response
+		{2200 * time.Millisecond, true},  // two heartbeats, less the jitter
 		{time.Hour, true},
 	} {
 		until := expiry.GraceUntil(now.Add(-row.gap), now)
@@ -29,5 +29,5 @@
 			assert.Equal(t, until.Sub(now), 2200*time.Millisecond)
 		}
 	}
-	assert.Assert(t, !expiry.GraceUntil(time.Time{}, now).IsZero(), "nothing certain was ever known")
+	assert.Assert(t, !expiry.GraceUntil(time.Time{}, now).IsZero(), "no state was ever confirmed")
 }
--- a/internal/decide/policy/model.go
+++ b/internal/decide/policy/model.go
@@ -1,53 +1,52 @@
 package policy
 
-// Observation is one call that an engine has answered whole, as its daemon saw it.
+// Observation is one completed call on an engine, as its daemon saw it.
 type Observation struct {
-	// Uncached are the prompt tokens that the engine was thought to have to read, Generated those of the answer.
+	// Uncached is how many prompt tokens the engine was expected to process, Generated how many tokens it generated.
 	Uncached, Generated int64
-	// InFlight were this daemon's calls on the engine when the call was sent, MeanInFlight those on an engine of
-	// the service in the mean.
+	// InFlight is how many calls this daemon had on the engine when the call was sent, MeanInFlight how many it had
+	// on average on an engine of the service.
 	InFlight, MeanInFlight float64
-	// Seconds from sending the call to the end of its answer.
+	// Seconds is the time from sending the call to the end of its response.
 	Seconds float64
 }
 
-// CostModel learns what calls take on the engines of one service: a weighted least-squares fit of their times,
-// drawn to its defaults until enough was seen. The zero value is not usable; use NewCostModel. It is not safe for
-// concurrent use.
+// CostModel learns the duration of calls on the engines of one service by weighted least squares, regularised towards
+// its default costs. The zero value is not usable; use NewCostModel. It is not safe for concurrent use.
 type CostModel struct {
 	defaults Costs
-	// normalMatrix and targets are the sums of the normal equations.
+	// normalMatrix and normalVector are the sums of the normal equations.
 	normalMatrix [features][features]float64
 	normalVector [features]float64
 	weights      [features]float64
 	sinceSolve   int
 }
 
-// The features of a call, in the units that make their weights of like size.
+// The features of a call, in units that give their weights a similar magnitude.
 const (
-	featureBase        = iota // 1
+	featureBase        = iota // constant 1
 	featureUncached           // thousands of tokens
 	featureGenerated          // hundreds of tokens
 	featureInFlight           // calls of this daemon on the engine
-	featureServiceLoad        // calls of this daemon on an engine in the mean: how busy the service is as a whole
+	featureServiceLoad        // mean calls of this daemon on an engine: the load of the service as a whole
 	features
 )
 
 const (
-	// modelDecay is the weight that what was learnt keeps at each observation: some 500 calls count.
+	// modelDecay is the factor on the sums at each observation: some 500 calls count.
 	modelDecay = 0.998
-	// priorWeight is how many observations of size one the defaults count for.
+	// priorWeight is the weight of the defaults, in observations with a feature of 1.
 	priorWeight = 20
-	// solveInterval observations the weights are worked out anew.
+	// solveInterval is the number of observations between updates of the weights.
 	solveInterval = 10
-	// defaultGeneratedPer100 are the seconds for a hundred tokens before any were seen: 4 ms a token.
+	// defaultGeneratedPer100 is the time in seconds to generate a hundred tokens before any was observed.
 	defaultGeneratedPer100 = 0.4
-	// maxCostRatio bounds how far learnt costs may lie from the defaults, either way: a wrong fit must not send every
-	// call to one engine.
+	// maxCostRatio bounds learnt costs relative to the defaults, either way: a wrong fit must not send every call to
+	// one engine.
 	maxCostRatio = 30
 )
 
-// NewCostModel returns a model that knows nothing but defaults.
+// NewCostModel returns a model that starts from the default costs.
 func NewCostModel(defaults Costs) *CostModel {
 	m := &CostModel{defaults: defaults}
 	m.weights = m.prior()
@@ -62,7 +61,7 @@
 	return prior
 }
 
-// Observe takes a call into account.
+// Observe adds a completed call.
 func (m *CostModel) Observe(o Observation) {
 	x := featuresOf(o)
 	for i := range x {
@@ -82,7 +81,7 @@
 	return [features]float64{1, float64(o.Uncached) / 1000, float64(o.Generated) / 100, o.InFlight, o.MeanInFlight}
 }
 
-// solve works the weights out by Gaussian elimination. The pull towards the defaults keeps the equations regular.
+// solve computes the weights by Gaussian elimination. The regularisation keeps the equations non-singular.
 func (m *CostModel) solve() {
 	prior := m.prior()
 	a, b := m.normalMatrix, m.normalVector
@@ -107,7 +106,7 @@
 	}
 }
 
-// Costs returns the costs as learnt so far.
+// Costs returns the costs learnt so far.
 func (m *CostModel) Costs() Costs {
 	costs := m.defaults
 	costs.PrefillPerToken = clampCost(m.weights[featureUncached]/1000, m.defaults.PrefillPerToken)
@@ -115,7 +114,7 @@
 	return costs
 }
 
-// Expected returns the time in seconds that a call is expected to take; Seconds is not read.
+// Expected returns the expected duration of a call in seconds; o.Seconds is ignored.
 func (m *CostModel) Expected(o Observation) float64 {
 	seconds := 0.0
 	for i, x := range featuresOf(o) {
@@ -124,7 +123,7 @@
 	return max(seconds, 0)
 }
 
-// clampCost bounds a learnt cost by costRange around its default.
+// clampCost limits a learnt cost to maxCostRatio around its default.
 func clampCost(learnt, byDefault float64) float64 {
 	return min(max(learnt, byDefault/maxCostRatio), byDefault*maxCostRatio)
 }
--- a/internal/decide/policy/model_test.go
+++ b/internal/decide/policy/model_test.go
@@ -12,7 +12,7 @@
 
 var defaults = policy.Costs{PrefillPerToken: 0.00002, SlowdownPerCall: 0.008, CrossDataCentre: 0.004}
 
-// observe feeds calls of an engine whose real costs are given, with times that scatter by a fifth.
+// observe feeds calls of an engine with the given real costs; their durations vary by up to 20%.
 func observe(m *policy.CostModel, calls int, perToken, perCall float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range calls {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestCostsFollowAChange: engines that get faster are believed after some hundred calls.
+// TestCostsFollowAChange checks that the model adapts to engines that become faster.
 func TestCostsFollowAChange(t *testing.T) {
 	m := policy.NewCostModel(defaults)
 	observe(m, 2000, 0.0004, 0.02)
@@ -50,7 +50,7 @@
 	near(t, m.Costs().PrefillPerToken, 0.0001, 0.5)
 }
 
-// TestCostsStayInBounds: whatever is seen.
+// TestCostsStayInBounds checks that extreme durations can't move costs out of bounds.
 func TestCostsStayInBounds(t *testing.T) {
 	for _, seconds := range []float64{0, 1e6} {
 		m := policy.NewCostModel(defaults)
--- a/internal/decide/policy/policy_test.go
+++ b/internal/decide/policy/policy_test.go
@@ -88,10 +88,10 @@
 			return
 		}
 	}
-	t.Error("a long program starves")
+	t.Error("a long program was not served")
 }
 
-// TestQueueProperty: whatever is pushed, popped and removed, each call leaves the queue once.
+// TestQueueProperty checks that each call leaves the queue once, whatever is pushed, popped and removed.
 func TestQueueProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var q policy.Queue
@@ -123,8 +123,7 @@
 	})
 }
 
-// BenchmarkChooseEngine is the cost of placing a call on one of the servers of a model: 1,400 servers over 34 models
-// are 41 each.
+// BenchmarkChooseEngine chooses one of the engines of a model; 1,400 engines over 34 models are 41 each.
 func BenchmarkChooseEngine(b *testing.B) {
 	for _, count := range []int{10, 41, 410} {
 		engines := make([]policy.Engine, count)
@@ -139,7 +138,7 @@
 	}
 }
 
-// BenchmarkQueue is the cost of one push and pop while many calls of many organisations wait.
+// BenchmarkQueue does one push and one pop while many calls of many organisations wait.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{100, 1000, 10000} {
 		var q policy.Queue
--- a/internal/decide/policy/queue.go
+++ b/internal/decide/policy/queue.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// QueueClass is how a call's program stands. Calls of a lower one go first.
+// QueueClass orders calls by the state of their program. Lower classes are served first.
 type QueueClass int32
 
-// The standings. To let new programs begin before those under way are served makes all of them late.
+// Values of QueueClass. Started programs come first: serving new ones before them would make all of them late.
 const (
-	// StartedOnTime programs have begun and can still end in time. The zero value.
+	// StartedOnTime programs have started and can still meet their deadline. It is the zero value.
 	StartedOnTime QueueClass = iota
-	// StartedLate programs have begun and will end late.
+	// StartedLate programs have started and will miss their deadline.
 	StartedLate
-	// NewOnTime programs have not begun.
+	// NewOnTime programs have not started and can still meet their deadline.
 	NewOnTime
-	// NewLate programs have not begun and would end late.
+	// NewLate programs have not started and would miss their deadline.
 	NewLate
 )
 
-// ClassOf returns the standing of a call whose program has begun or not, and can't end in time or can.
+// ClassOf returns the class of a call, given whether its program has started and whether it will miss its deadline.
 func ClassOf(started, late bool) QueueClass {
 	switch {
 	case started && late:
@@ -34,45 +34,45 @@
 	}
 }
 
-// QueuedCall is one call that waits for an engine.
+// QueuedCall is a call that waits for an engine.
 type QueuedCall struct {
 	Organisation string
-	// Weight is the organisation's share of busy engines; at least 1.
+	// Weight is the organisation's relative share of busy engines; at least 1.
 	Weight int32
-	// Class and Due come before priority: of OnTime calls the one goes first whose program has the least time to
-	// lose. Due is from when on that program can't end in time; zero where that is not known.
+	// Class and LatestStart come before priority: of StartedOnTime calls the one with the earliest LatestStart goes
+	// first. After LatestStart the program can't meet its deadline; zero where that is not known.
 	Class       QueueClass
 	LatestStart time.Time
-	// Priority is the program's, 0 to 9.
+	// Priority is the program's, 0 to 9; higher goes first.
 	Priority int32
-	// Attained is the service in tokens that the whole program has had.
+	// Attained is the service that the whole program has received, in tokens.
 	Attained int64
-	// Cost is the expected service of the call in tokens.
+	// Cost is the call's expected service, in tokens.
 	Cost int64
-	// Value is the caller's own.
+	// Value is the caller's; the queue does not use it.
 	Value any
 
 	arrival uint64
 	index   int
 }
 
-// agingArrivals is how many later arrivals outweigh one doubling of attained service, so that a long program
-// is never overtaken for ever.
+// agingArrivals is how many later arrivals outweigh a doubling of attained service, so that long programs don't
+// starve.
 const agingArrivals = 64
 
-// Queue orders waiting calls: fair between organisations by weighted service received, inside one by how the
-// program stands, by priority, and then by least attained service of the program, with ageing. It is not safe for
-// concurrent use. The zero value is empty.
+// Queue orders waiting calls: between organisations by weighted fair queueing, within one by class, latest start,
+// priority, and least attained service with ageing. It is not safe for concurrent use. The zero value is an empty
+// queue.
 type Queue struct {
 	organisations map[string]*tenant
 	ready         tenantHeap
-	// virtualNow is the virtual time: the service level of the organisation served last.
+	// virtualNow is the virtual time: the largest of the organisations served so far.
 	virtualNow float64
 	arrivals   uint64
 	length     int
 }
 
-// tenant is an organisation in the queue.
+// tenant is the queue of one organisation.
 type tenant struct {
 	name        string
 	virtualTime float64
@@ -91,7 +91,7 @@
 	return 0
 }
 
-// Push adds a call. An organisation that was idle starts at the present virtual time: it gains nothing from
+// Push adds a call. An organisation that was idle starts at the current virtual time, so that it gains nothing from
 // having been idle.
 func (q *Queue) Push(w *QueuedCall) {
 	if q.organisations == nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-// Pop removes and returns the call to serve next, or nil. The call's cost is charged to its organisation.
+// Pop removes and returns the next call to serve, or nil. Its cost is charged to its organisation.
 func (q *Queue) Pop() *QueuedCall {
 	if len(q.ready) == 0 {
 		return nil
@@ -126,7 +126,7 @@
 	return w
 }
 
-// Remove takes a call out that gave up waiting. A call that is not in the queue is left alone.
+// Remove removes a call that gave up waiting. It does nothing if the call is not in the queue.
 func (q *Queue) Remove(w *QueuedCall) {
 	t := q.organisations[w.Organisation]
 	if t == nil || w.index < 0 || w.index >= len(t.calls) || t.calls[w.index] != w {
@@ -137,7 +137,7 @@
 	q.reposition(t)
 }
 
-// Ahead returns how many calls of the same organisation and standing are to be served before one in the queue.
+// Ahead returns how many calls of the same organisation and class are to be served before a call in the queue.
 func (q *Queue) Ahead(w *QueuedCall) int {
 	t := q.organisations[w.Organisation]
 	if t == nil {
@@ -152,8 +152,8 @@
 	return n
 }
 
-// reposition puts an organisation in its place after its calls or its service changed, and forgets one that
-// waits for nothing and is not ahead of the others.
+// reposition restores the heap order after an organisation's calls or virtual time changed, and drops an organisation
+// that has no calls and whose virtual time has passed.
 func (q *Queue) reposition(t *tenant) {
 	if len(t.calls) > 0 {
 		heap.Fix(&q.ready, t.index)
@@ -170,7 +170,7 @@
 	}
 }
 
-// before tells whether a call goes before another of its organisation.
+// before reports whether a call goes before another one of its organisation.
 func (w *QueuedCall) before(other *QueuedCall) bool {
 	if w.Class != other.Class {
 		return w.Class < other.Class
@@ -184,12 +184,12 @@
 	return w.rank() < other.rank()
 }
 
-// rank returns what a call is ordered by after its priority: lower goes first.
+// rank returns the sort key that applies after priority: lower goes first.
 func (w *QueuedCall) rank() float64 {
 	return log2(w.Attained+1)*agingArrivals + float64(w.arrival)
 }
 
-// log2 returns the whole binary logarithm of a positive number.
+// log2 returns the binary logarithm of a positive number, rounded down.
 func log2(n int64) float64 {
 	bits := 0
 	for n > 1 {
--- a/internal/decide/policy/recentmax.go
+++ b/internal/decide/policy/recentmax.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// recentMaxWindow is how long a larger number holds.
+// recentMaxWindow is how long a maximum is kept after it was last reached.
 const recentMaxWindow = 10 * time.Second
 
-// RecentMax is the largest of the numbers seen of late: where it counts daemons, those that are away for a while count, and one
-// that knows few others for now does not lower it. The zero value is ready for use.
+// RecentMax is the largest of the numbers observed recently. Counting daemons by it, a temporary drop has no effect,
+// as when some are away or when the observer knows only few of them. The zero value is ready for use.
 type RecentMax struct {
 	n  int
 	at time.Time
 }
 
-// Observe takes a number into account and returns the largest of late.
+// Observe records a number and returns the recent maximum.
 func (m *RecentMax) Observe(now time.Time, n int) int {
 	if n >= m.n || now.Sub(m.at) > recentMaxWindow {
 		m.n, m.at = n, now
@@ -20,5 +20,5 @@
 	return m.n
 }
 
-// Read returns the largest number of late.
+// Read returns the recent maximum as of the last Observe.
 func (m *RecentMax) Read() int { return m.n }
--- a/internal/decide/policy/share.go
+++ b/internal/decide/policy/share.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// overcommit is how many more calls than slots all daemons together may have under way at a service's engines.
-// Daemons know of one another late, and calls fall unevenly on the engines, so slots would stay empty.
+// overcommit is how many calls all daemons together may have under way for each slot of a service's engines. Daemons
+// learn of one another late, and calls spread unevenly, so that slots would otherwise stay empty.
 const overcommit = 1.25
 
-// SlotShare returns how many calls a daemon may have under way at engines with so many slots in all, where it wants to
-// have own of them and the other daemons others: as many as it wants while the slots suffice, and its part of them
-// when they do not.
+// SlotShare returns how many calls a daemon may have under way on engines with the given slots in total, where it
+// wants own calls and the other daemons want others: all of its own while the slots suffice, otherwise a proportional
+// part, at least 1.
 func SlotShare(slots, own, others int) int {
 	limit := overcommit * float64(slots)
 	if float64(own+others) <= limit {
@@ -17,13 +17,13 @@
 	return max(1, int(limit*float64(own)/float64(own+others)+0.5))
 }
 
-// InTime tells whether a call that has so many calls before it can expect its turn within the time left, where
-// rate calls a second get theirs. The next one always can.
+// InTime reports whether a call with ahead calls before it can expect to start within the time left, where rate calls
+// start per second. The next call always can.
 func InTime(ahead int, rate float64, left time.Duration) bool {
 	return ahead == 0 || float64(ahead) <= rate*left.Seconds()
 }
 
-// QueueDelay returns how long so many calls take to get their turn, at most longest.
+// QueueDelay returns how long it takes until so many calls have started at rate calls per second, at most longest.
 func QueueDelay(calls int, rate float64, longest time.Duration) time.Duration {
 	if rate <= 0 {
 		return longest
@@ -31,25 +31,25 @@
 	return min(longest, time.Duration(float64(calls)/rate*float64(time.Second)))
 }
 
-// TimeBudgetShare learns which share of the time that programs of one kind are given they need when nothing holds them up:
-// a high quantile over their calls of the time used by the end of the call. The zero value is ready for use.
+// TimeBudgetShare learns which share of their time budget programs of one kind need when nothing delays them: a high
+// quantile, over their calls, of the share used by the end of the call. The zero value is ready for use.
 type TimeBudgetShare struct {
 	estimate float64
 }
 
 const (
-	// defaultBudgetShare stands until programs were seen.
+	// defaultBudgetShare applies until a program was observed.
 	defaultBudgetShare = 0.6
-	// budgetQuantile of the calls end within the share: the last calls of programs count, which are few.
+	// budgetQuantile is the quantile to learn. It is high since the last calls of programs count, which are few.
 	budgetQuantile = 0.95
-	// budgetStep is how far one call moves the share: some hundred calls settle it.
+	// budgetStep scales the change by one call: the estimate settles within some hundred calls.
 	budgetStep = 0.01
-	// maxBudgetShare leaves a program some time to wait, whatever was seen.
+	// maxBudgetShare leaves every program some time to wait.
 	maxBudgetShare = 0.95
 )
 
-// Observe takes a call into account that ended when its program had used so much of its time. Calls that had to
-// wait must not be told.
+// Observe records a call that ended when its program had used the given share of its time budget. Calls that had to
+// wait must not be recorded.
 func (s *TimeBudgetShare) Observe(used float64) {
 	if s.estimate == 0 {
 		s.estimate = defaultBudgetShare
@@ -61,7 +61,7 @@
 	}
 }
 
-// Need returns the time that a program needs of what it was given.
+// Need returns how much of its time budget a program needs.
 func (s *TimeBudgetShare) Need(budget time.Duration) time.Duration {
 	share := s.estimate
 	if share == 0 {
--- a/internal/decide/policy/share_test.go
+++ b/internal/decide/policy/share_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// TestSharesFitSlots: what daemons that know of one another let go together fits the slots, but for one each.
+// TestSharesFitSlots checks that the shares of daemons that know of one another exceed the overcommitted slots by at
+// most one call each.
 func TestSharesFitSlots(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		slots := rapid.IntRange(1, 500).Draw(r, "slots")
@@ -31,7 +32,7 @@
 		for _, w := range wants {
 			share := policy.SlotShare(slots, w, all-w)
 			if share > w && share > 1 {
-				r.Fatalf("%d of %d wanted", share, w)
+				r.Fatalf("a share of %d for %d calls", share, w)
 			}
 			sum += share
 		}
@@ -42,7 +43,7 @@
 }
 
 func TestInTime(t *testing.T) {
-	assert.Assert(t, policy.InTime(0, 0, time.Second), "the next one always can")
+	assert.Assert(t, policy.InTime(0, 0, time.Second), "the next call always can")
 	assert.Assert(t, !policy.InTime(1, 0, time.Second))
 	assert.Assert(t, policy.InTime(5, 10, 500*time.Millisecond))
 	assert.Assert(t, !policy.InTime(6, 10, 500*time.Millisecond))
@@ -87,7 +88,7 @@
 	assert.Equal(t, q.Ahead(unknown), 2)
 	assert.Equal(t, q.Ahead(fresh), 1)
 	for i, want := range []*policy.QueuedCall{soon, later, unknown, late, freshUrgent, fresh, newLate} {
-		assert.Assert(t, q.Pop() == want, "place %d", i)
+		assert.Assert(t, q.Pop() == want, "position %d", i)
 	}
 	assert.Equal(t, policy.ClassOf(true, false), policy.StartedOnTime)
 	assert.Equal(t, policy.ClassOf(true, true), policy.StartedLate)
@@ -95,9 +96,8 @@
 	assert.Equal(t, policy.ClassOf(false, true), policy.NewLate)
 }
 
-// BenchmarkDispatch is one call's way: it joins a queue, sees how many are ahead, the next one is taken out and
-// placed on one of 45 engines: 0.43 µs with 10 waiting, 2.9 µs with 1,000, no allocation but the call's. A front
-// daemon passes some hundred turns a second.
+// BenchmarkDispatch covers the scheduling of one call: it is queued, the calls ahead are counted, the next call is
+// popped, and one of 45 engines is chosen.
 func BenchmarkDispatch(b *testing.B) {
 	for _, waiting := range []int{10, 1000} {
 		b.Run(fmt.Sprint(waiting, " waiting"), func(b *testing.B) {
--- a/internal/decide/policy/subset.go
+++ b/internal/decide/policy/subset.go
@@ -6,38 +6,39 @@
 )
 
 const (
-	// minSubsetSize is how many servers a data centre's daemons turn to however little there is to do: some may go dark at once.
+	// minSubsetSize is the smallest subset, however low the load: several servers may fail at once.
 	minSubsetSize = 16
-	// serversPerCall is how many servers they turn to for each call: calls seldom meet at one, and some may be slow or dark.
+	// serversPerCall is the number of servers per call, so that calls seldom share a server and some servers may be
+	// slow or down.
 	serversPerCall = 1.5
 )
 
-// SubsetSize returns to how many servers of a service the daemons of one data centre turn, where all daemons together have so
-// many calls there and its servers stand in so many data centres. It follows the work and not the size of the service: what
-// a server must read before its first turn, and a connection to it, are paid for by many turns.
+// SubsetSize returns how many servers of a service the daemons of one data centre choose from, where all daemons
+// together have the given calls there and the servers are spread over dataCentres. It follows the load and not the
+// size of the service, so that the cost of reading a shared prompt and of connecting is spread over many turns.
 //
-// It answers a light load before many servers; where servers are fewer than calls it leaves none out.
+// It limits a light load on many servers; where there are fewer servers than calls, all are used.
 func SubsetSize(calls float64, dataCentres int) int {
 	return max(minSubsetSize, int(math.Ceil(serversPerCall*calls/float64(max(1, dataCentres)))))
 }
 
-// maxDecayTime is the time in which a peak falls to a third.
+// maxDecayTime is the time constant of DecayingMax.
 const maxDecayTime = 10 * time.Second
 
-// DecayingMax is the most that a value has been of late: it rises at once and falls slowly. The zero value is ready for use.
+// DecayingMax is a maximum that rises at once and decays exponentially. The zero value is ready for use.
 type DecayingMax struct {
 	value float64
 	at    time.Time
 }
 
-// Observe takes a value into account.
+// Observe records a value.
 func (m *DecayingMax) Observe(now time.Time, value float64) {
 	if value >= m.Read(now) {
 		m.value, m.at = value, now
 	}
 }
 
-// Read returns the peak.
+// Read returns the maximum, decayed up to now.
 func (m *DecayingMax) Read(now time.Time) float64 {
 	if m.at.IsZero() {
 		return 0
