--- a/internal/decide/quota/client.go
+++ b/internal/decide/quota/client.go
@@ -10,23 +10,24 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// ErrUnavailable means that too few homes answered to know whether there is room.
-var ErrUnavailable = errors.New("too few daemons answered that count requests")
+// ErrUnavailable means that too few replicas answered to grant or refuse a request.
+var ErrUnavailable = errors.New("too few quota replicas answered")
 
 const (
-	// replicaCount is how many daemons count an organisation's requests. Three bear the loss of one without a stand-in, and
-	// cost three calls a request.
+	// replicaCount is how many daemons count an organisation's requests. Three tolerate the loss of one without a
+	// stand-in, and cost three calls per request.
 	replicaCount = 3
-	// standInDelay is how long a home may be silent before a stand-in is asked: ten times a trip to another data centre.
+	// standInDelay is how long replicas may take to answer before a stand-in is asked: ten round trips to another
+	// data centre.
 	standInDelay = 30 * time.Millisecond
-	// takeTimeout bounds the asking: a caller's next try may reach a front that can.
+	// takeTimeout bounds Take: the caller's retry may reach a front daemon that is connected to more replicas.
 	takeTimeout = 400 * time.Millisecond
-	// unresponsiveTime is how long a home that was silent is asked last.
+	// unresponsiveTime is how long a replica that did not answer is asked last.
 	unresponsiveTime = time.Second
-	// returnTimeout bounds the giving back of a grant; one that is lost costs its organisation one request.
+	// returnTimeout bounds the return of a grant; a lost return costs the organisation one request.
 	returnTimeout = time.Second
-	// maxDenialTime bounds how long a refusal stands for further requests without asking, so that an organisation at many
-	// times its limit does not flood its homes: each front asks ten times a second.
+	// maxDenialTime bounds how long a refusal is reused without asking the replicas, so that an organisation far over
+	// its limit does not flood them: each front daemon asks ten times a second.
 	maxDenialTime = 100 * time.Millisecond
 )
 
@@ -34,53 +35,52 @@
 type Request struct {
 	Organisation string
 	Limit        Limit
-	// Version is that of the configuration that set Limit.
+	// Version is the version of the configuration that set Limit.
 	Version int64
-	// First is set for a request with which a program begins.
+	// First is set for the first request of a program.
 	First bool
 }
 
-// OverLimitError means that an organisation is at its limit.
+// OverLimitError means that an organisation has reached its limit.
 type OverLimitError struct {
-	// Wait is when there will be room.
+	// Wait is the time until there is room.
 	Wait time.Duration
 }
 
-// Error implements error.
-func (e *OverLimitError) Error() string { return "over the limit for another " + e.Wait.String() }
+func (e *OverLimitError) Error() string { return "request limit reached; room in " + e.Wait.String() }
 
-// Client asks homes for grants. Use NewAsker.
+// Client asks replicas for grants. Use NewClient.
 type Client struct {
 	links *peerlink.Pool
-	// candidates returns the addresses of an organisation's homes and, behind them, of those that may stand in.
+	// candidates returns the addresses of an organisation's replicas, followed by those of possible stand-ins.
 	candidates func(organisation string) []string
 
 	mu sync.Mutex
-	// unresponsiveUntil has the addresses that did not answer, and until when they are asked last.
+	// unresponsiveUntil holds the addresses that did not answer, and until when they are asked last.
 	unresponsiveUntil map[string]time.Time
-	// denials has who was refused just now.
+	// denials holds recent refusals.
 	denials map[denialKey]denial
-	// reservedUntil has until when requests of an organisation were granted for later.
+	// reservedUntil holds the time up to which requests of an organisation have been granted for later.
 	reservedUntil map[string]time.Time
 }
 
-// denialKey names requests that are refused together.
+// denialKey identifies requests that are refused together.
 type denialKey struct {
 	organisation string
 	first        bool
 }
 
-// denial stands until a time; room is when there will be room.
+// denial is a refusal that is reused until a time; there is room at retryAt.
 type denial struct{ until, retryAt time.Time }
 
-// NewClient returns an asker over links.
+// NewClient returns a client that uses links to call the replicas that candidates returns.
 func NewClient(links *peerlink.Pool, candidates func(organisation string) []string) *Client {
 	return &Client{links: links, candidates: candidates, unresponsiveUntil: map[string]time.Time{}, denials: map[denialKey]denial{}, reservedUntil: map[string]time.Time{}}
 }
 
 // Grant is the right to run one request.
 type Grant struct {
-	// Wait is how long the request must wait before it may go to a server.
+	// Wait is how long the request must wait before it may be sent to a server.
 	Wait time.Duration
 
 	client       *Client
@@ -88,7 +88,7 @@
 	replicas     []string
 }
 
-// Take returns a grant, an *OverError, or ErrUnsure.
+// Take returns a grant, or an *OverLimitError, or ErrUnavailable.
 func (c *Client) Take(ctx context.Context, r Request) (*Grant, error) {
 	if wait := c.deniedFor(r); wait > 0 {
 		return nil, &OverLimitError{Wait: wait}
@@ -125,7 +125,8 @@
 	}
 }
 
-// deniedFor returns when there will be room for a request that is refused without asking; 0 where homes must be asked.
+// deniedFor returns the time until there is room for a request that is refused without asking; 0 if replicas must be
+// asked.
 func (c *Client) deniedFor(r Request) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,13 +149,13 @@
 	c.denials[denialKey{r.Organisation, r.First}] = denial{until: now.Add(min(wait, maxDenialTime)), retryAt: now.Add(wait)}
 }
 
-// replica is a daemon to ask, and whether it is one in the place of another.
+// replica is a daemon to ask; standIn is set if it is asked in place of another.
 type replica struct {
 	address string
 	standIn bool
 }
 
-// replicas returns whom to ask, those last that were silent just now.
+// replicas returns the daemons to ask, in order; those that recently did not answer come last.
 func (c *Client) replicas(organisation string) []replica {
 	var responsive, unresponsive []replica
 	c.mu.Lock()
@@ -178,7 +179,7 @@
 	c.unresponsiveUntil[address] = time.Now().Add(unresponsiveTime)
 }
 
-// poll is one asking of homes.
+// poll is one round of asking replicas.
 type poll struct {
 	client   *Client
 	request  Request
@@ -189,11 +190,11 @@
 	votes    chan vote
 	grants   []string
 	denials  int
-	// delay is the longest that a grant must retryAfter, retryAfter the shortest after which a refused request may come back.
+	// delay is the longest delay of a grant, retryAfter the shortest wait of a refusal.
 	delay, retryAfter time.Duration
 }
 
-// vote is a home's answer.
+// vote is a replica's answer.
 type vote struct {
 	address string
 	reply   *TakeReply
@@ -205,7 +206,7 @@
 	return &poll{client: c, request: r, reserved: c.reservedFor(r.Organisation), replicas: replicas, quorum: min(replicaCount, len(replicas))/2 + 1, votes: make(chan vote, len(replicas))}
 }
 
-// run asks until enough homes have granted the request, or refused it.
+// run asks replicas until a quorum has granted or refused the request.
 func (p *poll) run(ctx context.Context) (*Grant, error) {
 	for range min(replicaCount, len(p.replicas)) {
 		p.askNext(ctx)
@@ -234,7 +235,7 @@
 	return nil, p.abort()
 }
 
-// askNext asks one more home, if there is one.
+// askNext asks the next replica, if there is one.
 func (p *poll) askNext(ctx context.Context) {
 	if p.asked == len(p.replicas) {
 		return
@@ -255,7 +256,7 @@
 	}()
 }
 
-// tally takes one answer in.
+// tally counts one answer; where the call failed, the next replica is asked.
 func (p *poll) tally(ctx context.Context, v vote) {
 	switch {
 	case v.err != nil:
@@ -280,7 +281,7 @@
 	(&Grant{client: p.client, organisation: p.request.Organisation, replicas: p.grants}).Return()
 }
 
-// Return gives the grant of a request back that has not run and never will.
+// Return gives back the grant of a request that will not run. It does not wait for the replicas.
 func (g *Grant) Return() {
 	if g == nil {
 		return
@@ -289,7 +290,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), returnTimeout)
 			defer cancel()
-			// Where it gets lost the organisation has one request less for a moment.
+			// A lost return costs the organisation one request until it has accrued again.
 			_, _ = peerlink.Call[ReturnReply](ctx, g.client.links.LinkTo(address), ServiceName+".Return", &ReturnArgs{g.organisation})
 		}()
 	}
--- a/internal/decide/quota/client_test.go
+++ b/internal/decide/quota/client_test.go
@@ -16,7 +16,7 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// fleet is store daemons that count, on a network in memory, and a front's asker.
+// fleet is a set of quota services on an in-memory network, and the client of a front daemon.
 type fleet struct {
 	t      *testing.T
 	fabric *memnet.Fabric
@@ -26,7 +26,7 @@
 
 func storeName(i int) string { return fmt.Sprint("store-", i) }
 
-// newFleet returns as many store daemons, which have run for long enough for their buckets to be full.
+// newFleet starts the given number of store daemons and waits until their buckets are full.
 func newFleet(t *testing.T, stores int, limit quota.Limit) *fleet {
 	f := &fleet{t: t, fabric: memnet.New(), limit: limit}
 	var addresses []string
@@ -39,7 +39,7 @@
 		for i := range stores {
 			f.fabric.Kill(storeName(i))
 		}
-		time.Sleep(time.Minute) // timers of closed connections run out
+		time.Sleep(time.Minute) // timers of closed connections expire
 	})
 	time.Sleep(time.Minute)
 	return f
@@ -63,7 +63,7 @@
 	return c.Take(f.t.Context(), quota.Request{Organisation: "o", Limit: f.limit, Version: 1, First: first})
 }
 
-// takeAll takes one request after the other until one is refused, and returns how many were granted for at once.
+// takeAll takes requests until one is refused, and returns how many were granted.
 func (f *fleet) takeAll() (granted int) {
 	for range 10_000 {
 		if _, err := f.take(f.client, true); err != nil {
@@ -74,7 +74,7 @@
 		}
 		granted++
 	}
-	f.t.Fatal("no end")
+	f.t.Fatal("no request was refused")
 	return 0
 }
 
@@ -87,14 +87,15 @@
 		assert.Assert(t, f.takeAll() > 0)
 		_, err := f.take(other, true)
 		var over *quota.OverLimitError
-		assert.Assert(t, errors.As(err, &over), "another front asks for the same organisation: %v", err)
+		assert.Assert(t, errors.As(err, &over), "the other front must be refused: %v", err)
 		time.Sleep(over.Wait)
 		_, err = f.take(other, true)
-		assert.NilError(t, err, "there is room when it was said that there would be")
+		assert.NilError(t, err, "there must be room after the wait that was told")
 	})
 }
 
-// TestTwoReplicasMayFail: the rest and those that stand in go on counting, and what was counted before still counts.
+// TestTwoReplicasMayFail checks that the remaining replica and the stand-ins keep counting, and that earlier grants
+// still count.
 func TestTwoReplicasMayFail(t *testing.T) {
 	for _, fault := range []func(f *fleet, host string){
 		func(f *fleet, host string) { f.fabric.Kill(host) },
@@ -111,14 +112,14 @@
 			assert.Assert(t, time.Since(began) < time.Second, "answered after %v", time.Since(began))
 			assert.Assert(t, full+left <= int(allowed(small)), "%d and %d", full, left)
 			time.Sleep(tolerance.Window)
-			assert.Assert(t, f.takeAll() > 0, "the limit comes in again")
+			assert.Assert(t, f.takeAll() > 0, "requests must accrue again")
 			f.fabric.Thaw(storeName(0))
 			f.fabric.Thaw(storeName(1))
 		})
 	}
 }
 
-// TestNoGrantWithoutQuorum, and nothing is called over the limit.
+// TestNoGrantWithoutQuorum checks that without a quorum a request is neither granted nor refused for the limit.
 func TestNoGrantWithoutQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, small)
@@ -133,7 +134,7 @@
 	})
 }
 
-// TestReturnedGrantIsFree: at every home that granted it.
+// TestReturnedGrantIsFree checks that a grant is returned to all replicas that gave it.
 func TestReturnedGrantIsFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 5, small)
@@ -146,7 +147,7 @@
 	})
 }
 
-// TestRefusalIsReused: an organisation far over its limit does not flood its homes.
+// TestRefusalIsReused checks that an organisation far over its limit does not flood its replicas.
 func TestRefusalIsReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, small)
@@ -158,16 +159,16 @@
 			f.fabric.Partition("front", storeName(i))
 		}
 		_, err = f.take(f.client, true)
-		assert.Assert(t, errors.As(err, &over), "without asking: %v", err)
-		// One more comes in after 0.42 s; of the first refusal half of that is left.
-		assert.Assert(t, first.Wait > 150*time.Millisecond && over.Wait > 150*time.Millisecond, "it tells when there is room all the same: %v, %v", first.Wait, over.Wait)
+		assert.Assert(t, errors.As(err, &over), "must be refused without asking: %v", err)
+		// One request accrues in 0.42 s, of which half is left at the first refusal.
+		assert.Assert(t, first.Wait > 150*time.Millisecond && over.Wait > 150*time.Millisecond, "both refusals must tell when there is room: %v, %v", first.Wait, over.Wait)
 		time.Sleep(200 * time.Millisecond)
 		_, err = f.take(f.client, true)
 		assert.ErrorIs(t, err, quota.ErrUnavailable)
 	})
 }
 
-// BenchmarkTake is what counting a request takes a home, of 11,000 organisations.
+// BenchmarkTake counts one request at a replica, of 11,000 organisations.
 func BenchmarkTake(b *testing.B) {
 	s := quota.NewService(tolerance)
 	args := make([]quota.TakeArgs, 11_000)
--- a/internal/decide/quota/compare_test.go
+++ b/internal/decide/quota/compare_test.go
@@ -10,9 +10,9 @@
 	"github.com/rookpass/rookpass/internal/decide/quota"
 )
 
-// limiter is a limiter to keep one organisation's limit over many fronts.
+// limiter enforces one organisation's limit over many fronts.
 type limiter interface {
-	// take tells whether a front may run a request at a time.
+	// take reports whether a front may run a request at a time.
 	take(front int, now time.Time) bool
 	// messages returns how many messages were sent between daemons.
 	messages() int
@@ -36,7 +36,7 @@
 }
 func (s *staticShares) messages() int { return 0 }
 
-// gossip counts at each front; every pause each front learns what all had counted at its last report.
+// gossip counts at each front; after every pause a front learns what all others counted at their last report.
 type gossip struct {
 	limit  float64
 	pause  time.Duration
@@ -48,7 +48,7 @@
 }
 
 func newGossip(fronts int, l quota.Limit, now time.Time) limiter {
-	pause := 300 * time.Millisecond * time.Duration(max(1, (fronts+149)/150)) // as fronts swap what they have seen
+	pause := 300 * time.Millisecond * time.Duration(max(1, (fronts+149)/150)) // the interval at which fronts exchange reports
 	g := &gossip{limit: l.PerSecond*tolerance.Window.Seconds() + l.Burst, pause: pause, own: make([][]time.Time, fronts), seen: make([]int, fronts),
 		told: make([]time.Time, fronts), report: make([]int, fronts)}
 	for i := range g.told {
@@ -89,7 +89,7 @@
 
 func (g *gossip) messages() int { return g.sent }
 
-// replicated asks homes at each request.
+// replicated asks the replicas for each request.
 type replicated struct {
 	bucket *quota.Bucket
 	sent   int
@@ -105,13 +105,14 @@
 }
 func (c *replicated) messages() int { return c.sent }
 
-// result is how a way result: shares of what was asked, and the fullest window by what is borne.
+// result is the fraction of requests refused, the fullest window relative to what is allowed, and the messages per
+// second.
 type result struct {
 	refused, fullest float64
 	perSecond        float64
 }
 
-// compare lets an organisation ask at a multiple of its usual load through a few fronts or all.
+// compare lets an organisation send a multiple of its usual load through some of the fronts.
 func compare(make func(int, quota.Limit, time.Time) limiter, fronts, through int, usual, times float64) result {
 	var f result
 	const seeds, seconds = 10, 12
@@ -139,16 +140,16 @@
 	return f
 }
 
-// TestCompareLimiters compares three ways for a small and a large organisation: at its usual load through few fronts, and
-// at ten times that through all of them. What is used must refuse next to nothing of the first and never exceed what is
-// borne in the second; its messages grow with requests, not with fronts.
+// TestCompareLimiters compares three limiters for a small and a large organisation: at its usual load through few
+// fronts, and at ten times that through all of them. The replicated limiter (homes) must refuse less than 2% of the
+// former and never exceed what is allowed in the latter.
 func TestCompareLimiters(t *testing.T) {
 	limiters := map[string]func(int, quota.Limit, time.Time) limiter{"shares": newStaticShares, "gossip": newGossip, "homes": newReplicated}
 	for _, fronts := range []int{7, 58, 259, 400} {
 		for _, usual := range []float64{5, 140} {
 			for name, make := range limiters {
 				calm, hot := compare(make, fronts, 3, usual, 1), compare(make, fronts, fronts, usual, 10)
-				t.Logf("%d fronts, %v a second, %s: usual load %.3f refused, %.0f messages a second; ten times %.2f of what is borne", fronts, usual, name,
+				t.Logf("%d fronts, %v a second, %s: usual load %.3f refused, %.0f messages a second; ten times that fills the fullest window to %.2f of what is allowed", fronts, usual, name,
 					calm.refused, calm.perSecond, hot.fullest)
 				if name == "homes" {
 					assert.Assert(t, calm.refused < 0.02 && hot.fullest <= 1, "%+v %+v", calm, hot)
--- a/internal/decide/quota/load_test.go
+++ b/internal/decide/quota/load_test.go
@@ -11,18 +11,18 @@
 	"github.com/rookpass/rookpass/internal/decide/quota"
 )
 
-// tolerance is that of the sheets so far.
+// tolerance applies to all tests of this package.
 var tolerance = quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
 
-// program is one agent program of the load: turns and calls one after the other.
+// program is one simulated agent program, which makes its requests one after the other.
 type program struct {
 	left, tries int
 	first       bool
-	// paused is what it takes by itself, held what its limit added.
+	// paused is the program's own duration, held the delay that its limit added.
 	paused, held time.Duration
 }
 
-// due is a program's next request.
+// due is the time of a program's next request.
 type due struct {
 	at      time.Time
 	program *program
@@ -40,21 +40,23 @@
 	return last
 }
 
-// tally is how an organisation's programs fared.
+// course counts an organisation's programs by what became of them.
 type tally struct{ started, completed, inTime, refused int }
 
 const (
-	// requestPause is the mean time from one request of a program to the next, meanRequests how many a program makes.
+	// requestPause is the mean time from one request of a program to the next, meanRequests the mean number of its
+	// requests.
 	requestPause = 150 * time.Millisecond
 	meanRequests = 17
-	// maxTries is how often a caller asks for one request.
+	// maxTries is how often a caller tries one request.
 	maxTries = 3
-	// slack is by what share a program may take longer than by itself and still be in time.
+	// slack is by what fraction a program may exceed its own duration and still be in time.
 	slack = 0.8
 )
 
-// simulate lets an organisation whose limit is 1.6 times its usual load ask at times that load: programs are begun at random,
-// and each request is tried again when the bucket says so.
+// simulate lets an organisation with a limit of 1.6 times its usual load send the given multiple of that load:
+// programs start at random, and refused requests are retried when the bucket says so. first tells whether first
+// requests are marked as such.
 func simulate(r *rand.Rand, usual, times float64, length time.Duration, first bool) tally {
 	now := time.Unix(0, 0)
 	limit := quota.Limit{PerSecond: 1.6 * usual, Burst: 1.6 * usual}
@@ -99,7 +101,7 @@
 	return c
 }
 
-// simulateSeeds adds up courses of twenty seeds.
+// simulateSeeds sums the results of twenty seeds.
 func simulateSeeds(usual, times float64, first bool) tally {
 	var sum tally
 	for seed := range uint64(20) {
@@ -112,8 +114,8 @@
 	return sum
 }
 
-// TestUsualLoadIsNotRefused: an organisation that asks what it usually does, or half as much again, which is still below
-// its limit, is refused next to nothing, whatever its size.
+// TestUsualLoadIsNotRefused checks that an organisation at its usual load, whatever its size, has at most 2% of its
+// programs refused and 95% of the completed ones in time.
 func TestUsualLoadIsNotRefused(t *testing.T) {
 	for _, usual := range []float64{5, 20, 140} {
 		c := simulateSeeds(usual, 1, true)
@@ -122,16 +124,14 @@
 	}
 }
 
-// TestOverloadedOrganisationCompletesPrograms: programs of an organisation at many times its limit that begin also end, most of
-// them in time. Of 20 seeds of 8 s, a usual load of 20 requests a second and 7.5 times that: 446 began, 446 ended, 424 in
-// time; where a program's first request is granted as any other, 1318 began, 852 ended, 68 in time. At 140 a second 3,004
-// and 414 in time, at 5 a second 68 and 26. At twice the load of 140 a second it costs 4 in 100: 2,522 in time, and 2,628.
+// TestOverloadedOrganisationCompletesPrograms checks that an organisation far over its limit completes 90% of the
+// programs that it starts, and at least as many in time as without precedence for running programs.
 func TestOverloadedOrganisationCompletesPrograms(t *testing.T) {
 	for _, usual := range []float64{5, 20, 140} {
 		for _, times := range []float64{4, 7.5, 12} {
 			withPrecedence, withoutPrecedence := simulateSeeds(usual, times, true), simulateSeeds(usual, times, false)
 			assert.Assert(t, withPrecedence.completed*10 >= withPrecedence.started*9, "%v times %v: %+v", times, usual, withPrecedence)
-			assert.Assert(t, withPrecedence.inTime >= withoutPrecedence.inTime, "%v times %v: in time %d, and %d where all are alike", times, usual, withPrecedence.inTime, withoutPrecedence.inTime)
+			assert.Assert(t, withPrecedence.inTime >= withoutPrecedence.inTime, "%v times %v: %d in time, %d without precedence", times, usual, withPrecedence.inTime, withoutPrecedence.inTime)
 		}
 	}
 }
--- a/internal/decide/quota/service.go
+++ b/internal/decide/quota/service.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// ServiceName is the net/rpc name of the service.
+// ServiceName is the net/rpc name of Service.
 const ServiceName = "Quota"
 
-// sweepInterval is the time between two looks for buckets that know nothing any more.
+// sweepInterval is the time between two sweeps of idle buckets.
 const sweepInterval = 30 * time.Second
 
 // TakeArgs ask for the grant of one request.
 type TakeArgs struct {
 	Organisation string
-	// Limit is what the configuration of Version says.
+	// Limit is the limit in the configuration of Version.
 	Limit   Limit
 	Version int64
-	// First is set for a request with which a program begins.
+	// First is set for the first request of a program.
 	First bool
-	// StandIn is set where the daemon is asked in the place of a home that does not answer: it has counted nothing.
+	// StandIn is set if the daemon is asked in place of a replica that does not answer, so that it has no history.
 	StandIn bool
-	// Held is for how long from now grants for later were given already, as far as the asker knows; 0 where none were.
+	// Held is for how long from now requests have been granted for later, as far as the caller knows; 0 if none were.
 	Held time.Duration
 }
 
-// ReturnArgs give a granted request back that has not run.
+// ReturnArgs give back the grant of a request that did not run.
 type ReturnArgs struct{ Organisation string }
 
 // ReturnReply is empty.
 type ReturnReply struct{}
 
-// Service is a home: it counts the requests of organisations. Its exported methods are net/rpc methods.
+// Service is a replica: it counts the requests of organisations. Take and Return are net/rpc methods.
 type Service struct {
 	tolerance Tolerance
 	started   time.Time
@@ -43,13 +43,13 @@
 	sweptAt time.Time
 }
 
-// NewService returns a home that has counted nothing.
+// NewService returns a service that has counted nothing.
 func NewService(t Tolerance) *Service {
 	now := time.Now()
 	return &Service{tolerance: t, started: now, sweptAt: now, buckets: map[string]*Bucket{}}
 }
 
-// Take answers whether a request may run.
+// Take grants or refuses one request.
 func (s *Service) Take(args *TakeArgs, reply *TakeReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Return takes a grant back.
+// Return takes back the grant of a request that did not run.
 func (s *Service) Return(args *ReturnArgs, _ *ReturnReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,23 +85,23 @@
 	return nil
 }
 
-// Len returns how many organisations are counted.
+// Len returns the number of organisations with a bucket.
 func (s *Service) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.buckets)
 }
 
-// Count is what is known of one organisation, for operators.
+// Count is the state of one organisation's bucket, for operators.
 type Count struct {
 	Organisation string  `json:"organisation"`
 	PerSecond    float64 `json:"per_second"`
 	Burst        float64 `json:"burst"`
-	// Free is how many requests may be granted now; below 0 that many are granted for soon.
+	// Free is how many requests may be granted now; a negative number of requests has been granted for later.
 	Free float64 `json:"free"`
 }
 
-// Counts returns what is counted here, in the order of the names.
+// Counts returns the state of all buckets, sorted by organisation.
 func (s *Service) Counts() []Count {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return counts
 }
 
-// sweep drops buckets that know nothing any more. It is called with the lock held.
+// sweep drops idle buckets, once per sweepInterval. It is called with the lock held.
 func (s *Service) sweep(now time.Time) {
 	if now.Sub(s.sweptAt) < sweepInterval {
 		return
--- a/internal/decide/quota/window_test.go
+++ b/internal/decide/quota/window_test.go
@@ -12,7 +12,7 @@
 	"github.com/rookpass/rookpass/internal/decide/quota"
 )
 
-// maxInWindow returns the largest number of times within any window, which counts both its ends.
+// maxInWindow returns the largest number of times within any window, both ends included.
 func maxInWindow(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most, from := 0, 0
@@ -25,29 +25,29 @@
 	return most
 }
 
-// allowed is what a window may hold.
+// allowed returns how many requests a window may hold.
 func allowed(l quota.Limit) float64 {
 	return (l.PerSecond*tolerance.Window.Seconds()+l.Burst)*(1+tolerance.Excess) + tolerance.Slack
 }
 
-// replicaSet are the daemons that count one organisation's requests: three, and two that stand in.
+// replicaSet is the daemons that count one organisation's requests: three replicas and two stand-ins.
 type replicaSet struct {
 	r             *rand.Rand
 	limit         quota.Limit
 	version       int64
 	started       [5]time.Time
 	buckets       [5]*quota.Bucket
-	downUntil     [5]time.Time // until when
-	reservedUntil time.Time    // until when grants for later were given
+	downUntil     [5]time.Time
+	reservedUntil time.Time // until when requests have been granted for later
 }
 
-// restart ends a daemon that is back after a time and knows nothing.
+// restart stops a replica, which returns after a time without its state.
 func (h *replicaSet) restart(i int, now time.Time, after time.Duration) {
 	h.buckets[i], h.downUntil[i] = nil, now.Add(after)
 	h.started[i] = h.downUntil[i]
 }
 
-// take asks as a front does that finds out at once who is down, and returns when the request may run.
+// take asks like a front daemon that detects at once which replicas are down, and returns when the request may run.
 func (h *replicaSet) take(now time.Time, first bool) (time.Time, bool) {
 	granted, asked := 0, 0
 	var delay time.Duration
@@ -84,9 +84,8 @@
 	return now.Add(delay), granted >= 2
 }
 
-// TestNoWindowHoldsMoreThanTheLimit: over random courses of demand, kills of single homes and of all at once, twice within a
-// window at most, a request counts at some time between its grant and its arrival at a server; no window holds more than
-// is borne.
+// TestNoWindowHoldsMoreThanTheLimit simulates random demand and kills of single replicas and of all at once, at most
+// twice within a window, and checks that no window holds more requests than allowed.
 func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 7))
@@ -114,7 +113,7 @@
 	}
 }
 
-// kill ends one home, two, or all five.
+// kill restarts some replicas, and in a third of the cases all of them.
 func (h *replicaSet) kill(now time.Time) {
 	for i := range [...]int{1, 2, 5}[h.r.IntN(3)] {
 		h.restart((i+h.r.IntN(5))%5, now, time.Duration(h.r.IntN(2000))*time.Millisecond)
@@ -127,7 +126,7 @@
 	}
 }
 
-// TestWindowCheckDetectsExcess: the checker of windows finds a limiter that grants a tenth more than is borne.
+// TestWindowCheckDetectsExcess checks that the check of windows finds a limiter that grants 10% too much.
 func TestWindowCheckDetectsExcess(t *testing.T) {
 	for _, rate := range []float64{5, 50, 300} {
 		limit := quota.Limit{PerSecond: rate, Burst: rate}
@@ -140,7 +139,8 @@
 	}
 }
 
-// TestLowerLimitBindsAtOnce, and one of an older configuration changes nothing.
+// TestLowerLimitBindsAtOnce checks that a lowered limit applies at once, and that one of an older configuration is
+// ignored.
 func TestLowerLimitBindsAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := quota.NewBucket(tolerance, quota.Limit{PerSecond: 100, Burst: 100}, 5, now.Add(-time.Hour), now)
@@ -157,7 +157,7 @@
 	assert.Assert(t, float64(granted) <= allowed(low), "%d granted", granted)
 }
 
-// TestReturnedGrantsServeOthers: what never ran is not counted.
+// TestReturnedGrantsServeOthers checks that requests that did not run are not counted.
 func TestReturnedGrantsServeOthers(t *testing.T) {
 	now := time.Unix(0, 0)
 	limit := quota.Limit{PerSecond: 1, Burst: 1}
