--- a/internal/decide/dispatch/dispatch.go
+++ b/internal/decide/dispatch/dispatch.go
@@ -1,8 +1,8 @@
-// Package dispatch holds turns back while the model servers of a service are full, and decides which goes next.
+// Package dispatch queues turns while the model servers of a service are full, and decides which goes next.
 //
-// A server takes calls in the order in which they come. So what waits has to wait here: turns of programs that have
-// begun and can still end in time go before those of programs that can't, and those before new programs. A new
-// program that could not begin in time is refused at once.
+// Servers process calls in order of arrival, so calls wait here instead: turns of started programs that can still
+// meet their deadline go before those of programs that can't, and those before new programs. A call that could not
+// start in time is refused at once.
 package dispatch
 
 import (
@@ -16,33 +16,33 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// ErrNoSlot means that a call would not have had its turn in time.
-var ErrNoSlot = errs.New("no place at a server in time")
+// ErrNoSlot means that no slot becomes free for a call in time.
+var ErrNoSlot = errs.New("no model server slot in time")
 
 const (
-	// rateWindow is the time over which rates of calls are taken.
+	// rateWindow is the time constant over which rates of calls are averaged.
 	rateWindow = time.Second
-	// quietTime is how long nothing must have waited before programs tell what they need.
+	// quietTime is how long no call must have waited before completed calls count for the time budget shares.
 	quietTime = 2 * time.Second
-	// maxRetryAfter bounds how long a refused caller is told to stay away: programs of a second or two can still end
-	// in time then.
+	// maxRetryAfter bounds the retry delay of a refused caller: programs of a second or two can still meet their
+	// deadline then.
 	maxRetryAfter = 400 * time.Millisecond
 )
 
-// Call is a turn that wants to go to a server of a service.
+// Call is a turn to be sent to a server of a service.
 type Call struct {
 	Service string
 	// Route names turns of one kind.
 	Route string
-	// Slots are the calls that the service's servers run at once, together.
+	// Slots is how many calls the service's servers process at once, in total.
 	Slots int
 	// Priority is 0 to 9; higher goes first.
 	Priority int32
-	// ProgramStarted is set where turns of the same program were served before.
+	// ProgramStarted is set if turns of the same program were served before.
 	ProgramStarted bool
-	// TimeBudget is the time that the whole program was given; 0 where that was not said.
+	// TimeBudget is the time that the whole program was given; 0 if unspecified.
 	TimeBudget time.Duration
-	// Deadline is when the program should be over; zero where that was not said.
+	// Deadline is when the program should be over; zero if unspecified.
 	Deadline time.Time
 	// UnloadedDuration is how long the turn takes on an idle server.
 	UnloadedDuration time.Duration
@@ -50,23 +50,23 @@
 	FirstEventBy time.Time
 }
 
-// Scheduler lets calls go. Use New.
+// Scheduler decides when calls may be sent to servers. Use New.
 type Scheduler struct {
 	mu     sync.Mutex
 	queues map[string]*serviceQueue
-	// peerDemand are the calls that other daemons have under way or waiting, by service.
+	// peerDemand is how many calls other daemons have under way or waiting, by service.
 	peerDemand   map[string]int
 	budgetShares map[string]*policy.TimeBudgetShare
 }
 
-// serviceQueue is one service's. It is guarded by Gate.mu.
+// serviceQueue holds the calls of one service. It is guarded by Scheduler.mu.
 type serviceQueue struct {
 	queue   policy.Queue
 	running int
 	slots   int
 	// lastWait is when a call last had to wait.
 	lastWait time.Time
-	// admitted are the calls that were let go, admittedNew those of new programs.
+	// admitted is the rate of admitted calls, admittedNew that of calls of new programs.
 	admitted, admittedNew rate
 }
 
@@ -77,12 +77,12 @@
 	queued  *policy.QueuedCall
 }
 
-// New returns a gate that knows of no other daemon.
+// New returns a scheduler that knows of no other daemon.
 func New() *Scheduler {
 	return &Scheduler{queues: map[string]*serviceQueue{}, peerDemand: map[string]int{}, budgetShares: map[string]*policy.TimeBudgetShare{}}
 }
 
-// Demand returns the calls under way and waiting, by service.
+// Demand returns how many calls are under way or waiting, by service.
 func (s *Scheduler) Demand() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	return demand
 }
 
-// SetPeerDemand tells what other daemons have under way and waiting, by service; nil where that is not known.
+// SetPeerDemand sets how many calls other daemons have under way or waiting, by service; nil if that is not known.
 func (s *Scheduler) SetPeerDemand(demand map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// Waiting returns how many calls wait, Running how many are under way.
+// Waiting returns how many calls wait.
 func (s *Scheduler) Waiting() int { return s.count(func(q *serviceQueue) int { return q.queue.Len() }) }
 
 // Running returns how many calls are under way.
@@ -121,8 +121,8 @@
 	return n
 }
 
-// Acquire returns once the call may go to a server; Leave must be called when it has ended. ErrNoPlace comes at once
-// where the call can't have its turn in time, or when its time has passed.
+// Acquire returns nil once the call may be sent to a server; Release must be called when it has ended. It returns
+// ErrNoSlot at once if the call can't start in time, or later if its time has run out or ctx has ended.
 func (s *Scheduler) Acquire(ctx context.Context, c *Call) error {
 	w, err := s.enqueue(c)
 	if err != nil || w.isGranted() {
@@ -150,7 +150,7 @@
 	}
 }
 
-// timerAt returns a channel that gets a value at a time; never for the zero time.
+// timerAt returns a channel that receives a value at the given time; never for the zero time.
 func timerAt(at time.Time) (fires <-chan time.Time, stop func() bool) {
 	if at.IsZero() {
 		return nil, func() bool { return true }
@@ -159,7 +159,7 @@
 	return t.C, t.Stop
 }
 
-// enqueue lets a call go, queues it, or refuses it.
+// enqueue admits a call, queues it, or refuses it.
 func (s *Scheduler) enqueue(c *Call) (*waiter, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +180,7 @@
 	return w, nil
 }
 
-// canStartInTime tells whether a waiting call can expect its turn before it is of no use.
+// canStartInTime reports whether a queued call can expect to start while it is of use to its caller.
 func (s *Scheduler) canStartInTime(q *serviceQueue, w *waiter, now time.Time) bool {
 	left, rate := w.call.FirstEventBy.Add(-w.call.UnloadedDuration).Sub(now), q.admitted.read(now)
 	if w.queued.Class == policy.NewOnTime {
@@ -192,7 +192,8 @@
 	return policy.InTime(q.queue.Ahead(w.queued), rate, left)
 }
 
-// latestStart returns from when on the call's program can't end in time; zero where that is not known.
+// latestStart returns the last time at which the call's program can still meet its deadline; zero if that is not
+// known.
 func (s *Scheduler) latestStart(c *Call) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,7 +211,7 @@
 	return c.Deadline.Add(-need)
 }
 
-// push queues a call by how its program stands.
+// push queues a call in the class of its program.
 func (s *Scheduler) push(q *serviceQueue, w *waiter, now time.Time) {
 	late := s.latestStartLocked(w.call)
 	w.queued = &policy.QueuedCall{Cost: 1, Weight: 1, Priority: w.call.Priority, Value: w, LatestStart: late,
@@ -218,7 +219,7 @@
 	q.queue.Push(w.queued)
 }
 
-// grant lets as many calls go as this daemon's share of the slots allows.
+// grant admits as many calls as this daemon's share of the slots allows.
 func (s *Scheduler) grant(service string, q *serviceQueue) {
 	for q.queue.Len() > 0 && q.running < policy.SlotShare(q.slots, q.demand(), s.peerDemand[service]) {
 		next := q.queue.Pop()
@@ -232,8 +233,8 @@
 	}
 }
 
-// downgrade puts a call whose program can't end in time any more behind those that can. It returns false for a
-// call of a new program, which is given up: it would be late whatever comes.
+// downgrade queues a call again whose program can no longer meet its deadline, behind those that can. It returns
+// false for a call of a new program, which is to be refused since it would be late in any case.
 func (s *Scheduler) downgrade(w *waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,7 +251,7 @@
 	return true
 }
 
-// withdraw takes a call out of the queue; false where it has been let go meanwhile.
+// withdraw removes a call from the queue. It returns false if the call has been admitted meanwhile.
 func (s *Scheduler) withdraw(w *waiter) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,7 +264,7 @@
 	return true
 }
 
-// Release tells that a call which was let go has ended.
+// Release records that an admitted call has ended.
 func (s *Scheduler) Release(c *Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -272,8 +273,8 @@
 	s.grant(c.Service, q)
 }
 
-// ObserveCompletion tells that a call was answered whole. While nothing waits, programs show what share of their time they
-// need.
+// ObserveCompletion records that a call was answered completely. Where no call had to wait recently, it tells what
+// share of their time budget programs need.
 func (s *Scheduler) ObserveCompletion(c *Call) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -284,7 +285,8 @@
 	s.budgetShare(c.Route).Observe(1 - c.Deadline.Sub(now).Seconds()/c.TimeBudget.Seconds())
 }
 
-// RetryAfter returns after how long a refused call may find a place: when the next of its kind should be let go.
+// RetryAfter returns how long a refused caller should wait: until the next call of its kind is expected to be
+// admitted.
 func (s *Scheduler) RetryAfter(c *Call) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,7 +327,7 @@
 	}
 }
 
-// rate counts events a second, with a memory that fades over rateMemory.
+// rate is the exponentially weighted number of events per second, with the time constant rateWindow.
 type rate struct {
 	events float64
 	at     time.Time
--- a/internal/decide/dispatch/dispatch_test.go
+++ b/internal/decide/dispatch/dispatch_test.go
@@ -13,7 +13,7 @@
 	"github.com/rookpass/rookpass/internal/decide/dispatch"
 )
 
-// turn returns a call of a program that has begun, with so much time left; each turn takes 100 ms alone.
+// turn returns a call of a started program with the given time left; each turn takes 100 ms on an idle server.
 func turn(left time.Duration) *dispatch.Call {
 	return &dispatch.Call{Service: "m", Route: "r", Slots: 4, ProgramStarted: true, TimeBudget: 2 * time.Second, Deadline: time.Now().Add(left),
 		UnloadedDuration: 100 * time.Millisecond, FirstEventBy: time.Now().Add(2 * time.Second)}
@@ -26,7 +26,7 @@
 	return c
 }
 
-// fill lets as many calls go as there is room for.
+// fill uses up this daemon's share of the slots, which is one call.
 func fill(t *testing.T, s *dispatch.Scheduler) []*dispatch.Call {
 	t.Helper()
 	s.SetPeerDemand(map[string]int{"m": 1000})
@@ -48,7 +48,7 @@
 	})
 }
 
-// TestQueueOrder: calls that wait are let go by how their programs stand, not by when they came.
+// TestQueueOrder checks that waiting calls are admitted by the state of their programs, not in order of arrival.
 func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := dispatch.New()
@@ -80,7 +80,8 @@
 	})
 }
 
-// TestLateProgramYields: from then on it gives way to those that can still end in time.
+// TestLateProgramYields checks that a call whose program becomes late while it waits goes after those that can still
+// meet their deadline.
 func TestLateProgramYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := dispatch.New()
@@ -104,8 +105,8 @@
 	})
 }
 
-// TestRefusedAtOnce: a new program behind others whose turn would come too late is told so without waiting; the
-// next in line waits, and is given up when its program can't end in time any more.
+// TestRefusedAtOnce checks that a new program that would start too late is refused without waiting, and that the one
+// before it is refused when it can no longer meet its deadline.
 func TestRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := dispatch.New()
@@ -121,12 +122,12 @@
 		assert.ErrorIs(t, s.Acquire(t.Context(), late), dispatch.ErrNoSlot)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		assert.Equal(t, s.RetryAfter(late), 400*time.Millisecond)
-		assert.Equal(t, <-waited, 400*time.Millisecond, "60% of its second are needed, as long as nothing else was seen")
+		assert.Equal(t, <-waited, 400*time.Millisecond, "by default 60% of the time budget count as needed")
 		assert.Equal(t, s.Waiting(), 0)
 	})
 }
 
-// TestCancelledCallLeavesQueue, and a place that was given up goes to the next.
+// TestCancelledCallLeavesQueue checks that a call whose caller has gone does not take a slot.
 func TestCancelledCallLeavesQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := dispatch.New()
@@ -144,7 +145,8 @@
 	})
 }
 
-// TestNoWaitBeyondFirstEventDeadline: a call whose caller would not get its first event any more is refused.
+// TestNoWaitBeyondFirstEventDeadline checks that a call is refused once its caller would no longer get the first
+// event.
 func TestNoWaitBeyondFirstEventDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := dispatch.New()
@@ -155,7 +157,8 @@
 	})
 }
 
-// TestUnknownPeerDemandAdmitsCalls: where no daemon tells, turns go as they come.
+// TestUnknownPeerDemandAdmitsCalls checks that waiting calls are admitted when the demand of other daemons becomes
+// unknown.
 func TestUnknownPeerDemandAdmitsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := dispatch.New()
@@ -168,8 +171,8 @@
 	})
 }
 
-// TestTimeBudgetShareIsLearnt: a new program may wait for what others of its kind did not need of their time, and
-// only calm times tell.
+// TestTimeBudgetShareIsLearnt checks that a new program may wait for the part of its time budget that others of its
+// route did not need, as observed while no call had to wait.
 func TestTimeBudgetShareIsLearnt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := dispatch.New()
@@ -177,7 +180,7 @@
 		for i := range 2000 {
 			c := turn(2 * time.Second)
 			assert.NilError(t, s.Acquire(t.Context(), c))
-			time.Sleep(time.Duration(i%10) * 60 * time.Millisecond) // ends after up to 27% of the program's time
+			time.Sleep(time.Duration(i%10) * 60 * time.Millisecond) // ends after up to 27% of the time budget
 			s.ObserveCompletion(c)
 			s.Release(c)
 		}
@@ -189,7 +192,7 @@
 	})
 }
 
-// TestEveryCallEndsOnce: under a crowd of callers every call is let go or refused, and none is left.
+// TestEveryCallEndsOnce checks that with many concurrent callers every call is admitted or refused, and none is left.
 func TestEveryCallEndsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := dispatch.New()
