--- a/internal/front/balance/balance.go
+++ b/internal/front/balance/balance.go
@@ -1,4 +1,5 @@
-// Package balance chooses the backend server for a request from what this daemon has seen of each.
+// Package balance chooses the backend server for a request, based on what this daemon and its peers have observed of
+// each.
 package balance
 
 import (
@@ -15,156 +16,160 @@
 )
 
 const (
-	// ejectAfter consecutive failures take a server out of the choice for ejectTime, doubled with each
-	// further one up to maxEject. A crashed server is noticed after two requests.
+	// ejectAfter is how many consecutive failures eject a server: for ejectTime, doubled with each further failure up
+	// to maxEject.
 	ejectAfter = 2
 	ejectTime  = 500 * time.Millisecond
 	maxEject   = 4 * time.Second
-	// spareEjectTime is how long a server that was silent is passed over where the work does not need it. One that starts
-	// again meanwhile is another start, of which nothing is known.
+	// spareEjectTime is how long a server that did not respond is ejected where the load does not need it. If it
+	// restarts meanwhile, the new start has no history.
 	spareEjectTime = 15 * time.Second
-	// shedBackoff is how long a server that shed a request is passed over: about one short request.
+	// shedBackoff is how long a server that shed a request is avoided: about the duration of a short request.
 	shedBackoff = 60 * time.Millisecond
-	// remotePenalty is how many requests in flight a server in another data centre counts more: a trip there
-	// and back costs a few milliseconds, and its bytes have a price.
+	// remotePenalty is the cost of a server in another data centre, in requests in flight: the round trip takes a few
+	// milliseconds, and the traffic is paid for.
 	remotePenalty = 1.2
-	// connectPenalty is the same for a server to which a connection must be opened first, and connectSeconds what that
-	// costs a turn: a trip of 2 to 3 ms and a millisecond of the server's. It decides between servers that are as busy.
+	// connectPenalty is the cost of a server without an open connection, in requests in flight, connectSeconds the
+	// same for a turn: a round trip and a millisecond of the server's time. They decide between equally loaded
+	// servers.
 	connectPenalty = 0.05
 	connectSeconds = 0.003
-	// latencyWeight is the weight of the newest answer in the means of a route, which has many servers.
+	// latencyWeight is the weight of the newest response in the averages of a route, which has many servers.
 	latencyWeight = 0.02
-	// unresponsiveFactor is how many times the route's mean time to the head of an answer a server may be silent
-	// before no more is sent to it; at least silentLeast, which is above a busy VM's delays.
+	// unresponsiveFactor is how many times the route's mean time to the response head a request may wait before its
+	// server counts as unresponsive; at least unresponsiveMin, which exceeds the delays of a busy VM.
 	unresponsiveFactor = 6
 	unresponsiveMin    = 250 * time.Millisecond
-	// hedgeFactor is the same for asking another server too, where a request may run twice.
+	// hedgeFactor and hedgeMin are the same for asking another server too, where a request may run twice.
 	hedgeFactor = 4
 	hedgeMin    = 60 * time.Millisecond
-	// hedgeDefault is used before a route's mean is known.
+	// hedgeDefault applies before a route's mean is known.
 	hedgeDefault = 300 * time.Millisecond
-	// maxSuspectShare of the servers may be shunned on other daemons' word.
+	// maxSuspectShare is the largest fraction of the servers that may be suspected; beyond it, suspicion is ignored.
 	maxSuspectShare = 0.4
-	// failQuorum daemons that a server has failed last, within failingTime, count as one that suspects it: where there are
-	// many daemons, none of them meets a server twice soon. Fewer would be met by chance where servers lose a few answers in a
-	// hundred, and for longer a server would stay out of use after it is well.
+	// failQuorum is how many daemons must have had their last request to a server fail, within failingWindow, for the
+	// server to be suspected: among many daemons, none meets the same server twice soon. Fewer would be reached by
+	// chance where servers lose a few percent of the responses, and a longer window would keep recovered servers out
+	// of use.
 	failQuorum    = 3
 	failingWindow = 3 * time.Second
 )
 
-// defaultCosts are those of a model server until its service's are learnt: engines so far read 40 to 60 prompt
-// tokens a millisecond, and each call of a daemon on one adds some 8 ms to the next.
+// defaultCosts apply to a model server until the costs of its service have been learnt.
 var defaultCosts = policy.Costs{PrefillPerToken: 0.00002, SlowdownPerCall: 0.008, CrossDataCentre: 0.004}
 
-// serverState is what was seen of one start of a server. It is guarded by Balancer.mu.
+// serverState is what was observed of one start of a server. It is guarded by Balancer.mu.
 type serverState struct {
 	inFlight int
-	// callSeconds is the sum of the calls in flight over time since the last report, in call-seconds, up to changed.
+	// callSeconds is the integral of the calls in flight over time since the last report, up to updatedAt.
 	callSeconds float64
 	updatedAt   time.Time
-	// peerCalls are the calls of other daemons, smoothed over their reports.
+	// peerCalls is how many calls other daemons have there, smoothed over their reports.
 	peerCalls float64
 	failures  int
-	// failedAt is when it failed last; zero once it has answered since.
+	// failedAt is the time of the last failure; zero if the server has answered since.
 	failedAt     time.Time
 	ejectedUntil time.Time
 	busyUntil    time.Time
-	// latency is how its answers' times compare with those of the same routes at all servers.
+	// latency compares its response times with those of the same routes on all servers.
 	latency policy.RelativeLatency
-	// awaitingHead holds when the requests were sent whose answers have not begun, the oldest first.
+	// awaitingHead holds the send times of the requests whose response has not begun, the oldest first.
 	awaitingHead []time.Time
 	// awaitingRoute is the route of the newest of them.
 	awaitingRoute string
 	// lastColdSend is when it got the last request while it was cold.
 	lastColdSend time.Time
-	// parts are prompt parts that it has read.
+	// parts are the prompt parts that it is believed to have cached.
 	parts *partCache
-	// calls are cancelled, and no more begin, once the server has started again.
+	// calls holds the requests to cancel once a later start of the server is known; restarted is set from then on,
+	// and no more are accepted.
 	calls     map[*Choice]context.CancelCauseFunc
 	restarted bool
 }
 
-// Balancer keeps what was seen of servers. Use New.
+// Balancer keeps the state of servers and chooses among them. Use New.
 type Balancer struct {
-	// name is this daemon's, which differs from all others'.
+	// name is this daemon's unique name.
 	name     string
 	topology place.Topology
-	// startedAt is when the balancer was made: turns at cold servers go by the time since.
+	// startedAt is when the balancer was made; the windows for cold servers are relative to it.
 	startedAt time.Time
 	mu        sync.Mutex
 	states    map[incarnation.ID]*serverState
-	// latencies are the moving latencies of whole answers' times, by route, in seconds.
+	// latencies are the moving averages of the duration of complete responses, by route, in seconds.
 	latencies map[string]float64
-	// peerSuspects tells how many other daemons suspect a server.
+	// peerSuspects is how many other daemons suspect a server.
 	peerSuspects map[incarnation.ID]int
-	// peerFailing tells how many other daemons a server failed last, just now.
+	// peerFailing is how many other daemons had their last request to a server fail, within failingWindow.
 	peerFailing map[incarnation.ID]int
-	// headLatencies are the moving means of the time to the head of an answer, by route, in seconds.
+	// headLatencies are the moving averages of the time to the response head, by route, in seconds.
 	headLatencies map[string]float64
-	// connectTimes are the moving means of how long a connection to a data centre takes, in seconds.
+	// connectTimes are the moving averages of the time to connect to a data centre, in seconds.
 	connectTimes map[string]float64
-	// models learn what turns take, by service.
+	// models learn the costs of turns, by service.
 	models map[string]*policy.CostModel
-	// peerCount are the other daemons that send to the same servers. Each is taken to have as many calls there as this
-	// one.
+	// peerCount is how many other daemons send to the same servers. Each is assumed to have as many calls there as
+	// this one.
 	peerCount int
-	// calls are this daemon's under way at servers, by service; demand is the most of late that all daemons had.
+	// calls is how many calls this daemon has under way, by service; demand is the recent maximum of all daemons.
 	calls  map[string]int
 	demand map[string]*policy.DecayingMax
-	// daemonCount is the most of late that there were, this one among them.
+	// daemonCount is the recent maximum of the number of daemons, this one included.
 	daemonCount policy.RecentMax
-	// peerDemandKnown tells that other daemons have told of theirs.
+	// peerDemandKnown is set once other daemons have reported their demand.
 	peerDemandKnown bool
-	// meanPeerCalls is the mean of the others' calls on a server; reportedAt is when this daemon last told of its own.
+	// meanPeerCalls is the mean of the servers' peerCalls; loadsReportedAt is when this daemon last reported its own.
 	meanPeerCalls   float64
 	loadsReportedAt time.Time
 }
 
-// New returns a balancer of a daemon at a place.
+// New returns the balancer of a daemon, given its unique name and its location.
 func New(name string, at place.Topology) *Balancer {
 	return &Balancer{name: name, topology: at, startedAt: time.Now(), states: map[incarnation.ID]*serverState{}, latencies: map[string]float64{}, headLatencies: map[string]float64{},
 		connectTimes: map[string]float64{}, models: map[string]*policy.CostModel{}, calls: map[string]int{}, demand: map[string]*policy.DecayingMax{}}
 }
 
-// Request is what a choice depends on.
+// Request is what the choice of a server depends on.
 type Request struct {
-	// Route names requests of one kind, whose answers take like times.
+	// Route names requests of one kind, which take similar times.
 	Route string
-	// Servers are those of the service in the order in which a data centre turns to them; DataCentres is in how many they
-	// stand.
+	// Servers are those of the service in the order of preference of this data centre; DataCentres is how many data
+	// centres they are in.
 	Servers     []*catalog.Server
 	DataCentres int
-	// Slots are the requests that those take at once that may be used.
+	// Slots is how many requests the usable servers process at once, in total.
 	Slots int
-	// Constraints are under which they may be used.
+	// Constraints decide which servers may be used.
 	Constraints catalog.Constraints
-	// ColdPerSecond is what one of them bears while it is cold, of all daemons together.
+	// ColdPerSecond is how many requests a second one of them can take from all daemons together while it is cold.
 	ColdPerSecond float64
-	// Lookup returns a start of a server that is in use, or nil; nil where that is not known.
+	// Lookup returns the start of a server that is in use, or nil; Lookup itself is nil where that is not known.
 	Lookup func(incarnation.ID) *catalog.Server
-	// Tried servers are passed over.
+	// Tried servers are excluded.
 	Tried map[incarnation.ID]bool
 	// PromptTokens is the size of the prompt; 0 for plain requests.
 	PromptTokens int64
 	// Parts are the prompt's parts in order.
 	Parts []call.PromptPart
-	// Connected tells whether a connection to a server rests that the request may use; nil where that is not known.
+	// Connected reports whether there is an idle connection to a server that the request may use; nil where that is
+	// not known.
 	Connected func(*catalog.Server) bool
-	// subsetSize is how many servers are weighed, mean how many calls of this daemon one has in the mean; Pick sets both.
+	// subsetSize is how many servers are considered, meanInFlight how many calls this daemon has on one of them on
+	// average; Pick sets both.
 	subsetSize   int
 	meanInFlight float64
 }
 
-// Choice is the server chosen. Done must be called once.
+// Choice is the server chosen for a request. Done must be called when the request has ended.
 type Choice struct {
 	Server catalog.Server
-	// InFlight is how many requests of this daemon the server had.
+	// InFlight is how many requests of this daemon the server had before this one.
 	InFlight int
-	// Candidates is how many servers could have been chosen.
+	// Candidates is how many servers were eligible.
 	Candidates int
-	// Uncached are the tokens of a turn's prompt that the server was thought to have to read.
+	// Uncached is how many tokens of a turn's prompt the server is expected to process.
 	Uncached int64
-	// Generated is set to the tokens of a turn's answer before Done is told of it.
+	// Generated is set to the number of tokens in a turn's response before Done is called.
 	Generated int64
 
 	balancer     *Balancer
@@ -174,11 +179,11 @@
 	observed     policy.Observation
 	headReceived bool
 	done         bool
-	// hasSpare tells that there were more servers than were weighed.
+	// hasSpare is set if there were more servers than considered.
 	hasSpare bool
 }
 
-// Pick chooses a server, or returns false when none may take the request.
+// Pick chooses a server, or returns false if none may take the request.
 func (b *Balancer) Pick(req *Request) (*Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -187,7 +192,7 @@
 	candidates := 0
 	req.subsetSize = b.subsetSize(req, now)
 	req.meanInFlight = b.meanInFlight(req)
-	// Rather a server that others suspect than one that fails here, and rather that one than none at all.
+	// A server that other daemons suspect is preferred to one that fails here, and that one to none.
 	for _, trust := range []trust{unsuspected, alive, coldOrAlive, anyServer} {
 		best, candidates = b.choose(req, now, trust)
 		if best != nil {
@@ -216,23 +221,23 @@
 	return c, true
 }
 
-// trust is which servers a choice may take.
+// trust is how healthy a server must seem to be chosen; each level includes those before it.
 type trust int
 
 const (
-	// unsuspected servers look alive here and to the other daemons.
+	// unsuspected servers seem alive to this daemon and to the others.
 	unsuspected trust = iota
-	// alive servers look alive here.
+	// alive servers seem alive to this daemon.
 	alive
-	// coldOrAlive servers are cold or look alive here.
+	// coldOrAlive servers are cold or seem alive to this daemon.
 	coldOrAlive
-	// anyServer takes every server.
+	// anyServer includes servers that seem dead.
 	anyServer
 )
 
-// choose returns the cheapest server, or nil, and how many there were to choose from. Servers are weighed in their order up
-// to the width, so that those of a data centre's daemons that are up take all, and beside them the one that holds most of
-// the prompt.
+// choose returns the server with the lowest cost, or nil, and how many were eligible. It considers servers in order
+// of preference up to subsetSize, so that those of the same data centre's daemons are the same, and in addition the
+// server that has cached most of the prompt.
 func (b *Balancer) choose(req *Request, now time.Time, trust trust) (best *catalog.Server, candidates int) {
 	ignoreReports := trust > unsuspected || b.tooManySuspected(req.Servers)
 	var bestCost float64
@@ -262,8 +267,8 @@
 	return best, candidates
 }
 
-// admissible tells whether a server may get the request under its terms. A cold one may where no other does, and in this daemon's
-// turn: all of them together must not send it more than it bears.
+// admissible reports whether a server's restrictions allow the request. A cold server may get it where no other can,
+// and only in this daemon's window: all daemons together must not exceed the server's rate.
 func (b *Balancer) admissible(req *Request, server *catalog.Server, now time.Time, trust trust) bool {
 	switch req.Constraints.Restriction(server) {
 	case catalog.Unrestricted:
@@ -275,7 +280,7 @@
 	}
 }
 
-// cost is what a request is expected to take: seconds at a model server, a count of requests elsewhere.
+// cost returns the expected cost of a request: seconds for a turn, a number of requests in flight otherwise.
 func (b *Balancer) cost(req *Request, server *catalog.Server, s *serverState) float64 {
 	remote, rtt := b.topology.DistanceTo(server.DataCentre) != place.SameDataCentre, b.interRegionRTT(server.DataCentre)
 	connect := req.Connected != nil && !req.Connected(server)
@@ -300,7 +305,7 @@
 	return cost
 }
 
-// model returns what was learnt of a service.
+// model returns the cost model of a service.
 func (b *Balancer) model(service string) *policy.CostModel {
 	m := b.models[service]
 	if m == nil {
@@ -310,7 +315,7 @@
 	return m
 }
 
-// meanInFlight returns this daemon's calls on one of the servers that are weighed, in the mean.
+// meanInFlight returns how many calls this daemon has on average on a server that is considered.
 func (b *Balancer) meanInFlight(req *Request) float64 {
 	considered := req.Servers[:min(req.subsetSize, len(req.Servers))]
 	sum := 0
@@ -320,7 +325,7 @@
 	return float64(sum) / float64(max(1, len(considered)))
 }
 
-// SetPeerCount tells how many other daemons send to the same servers.
+// SetPeerCount sets how many other daemons send to the same servers.
 func (b *Balancer) SetPeerCount(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -328,12 +333,12 @@
 	b.daemonCount.Observe(time.Now(), n+1)
 }
 
-// avoided tells whether a server is to be left alone for now.
+// avoided reports whether a server is ejected, has just shed a request, or is unresponsive.
 func (b *Balancer) avoided(route string, s *serverState, now time.Time) bool {
 	return now.Before(s.ejectedUntil) || now.Before(s.busyUntil) || b.unresponsive(route, s, now)
 }
 
-// unresponsive tells whether a server has kept a request waiting for much longer than is usual.
+// unresponsive reports whether the server's oldest request without a response head is overdue.
 func (b *Balancer) unresponsive(route string, s *serverState, now time.Time) bool {
 	if len(s.awaitingHead) == 0 {
 		return false
@@ -341,13 +346,13 @@
 	return b.overdue(route, s.awaitingHead[0], now)
 }
 
-// overdue tells whether a request that was sent at a time has waited for the head of its answer for much longer than is usual.
+// overdue reports whether a request sent at the given time has waited for the response head much longer than usual.
 func (b *Balancer) overdue(route string, sent, now time.Time) bool {
 	limit := max(unresponsiveMin, time.Duration(unresponsiveFactor*b.headLatencies[route]*float64(time.Second)))
 	return now.Sub(sent) > limit
 }
 
-// HedgeAfter returns how long to wait for the head of an answer before another server is asked too.
+// HedgeAfter returns how long to wait for the response head before another server is asked too.
 func (b *Balancer) HedgeAfter(route string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -358,10 +363,10 @@
 	return max(hedgeMin, time.Duration(hedgeFactor*mean*float64(time.Second)))
 }
 
-// unknownServer is the state of every server that this daemon has had nothing to do with. Nobody may change it.
+// unknownServer is the state of every server that this daemon has not used. It must not be modified.
 var unknownServer = &serverState{parts: newPartCache()}
 
-// peekState returns what is known of a server, without remembering it: of thousands a daemon meets few.
+// peekState returns the state of a server without creating it: of thousands of servers, a daemon uses few.
 func (b *Balancer) peekState(id incarnation.ID) *serverState {
 	if s := b.states[id]; s != nil {
 		return s
@@ -369,7 +374,7 @@
 	return unknownServer
 }
 
-// stateOf returns what is known of a server that this daemon has to do with.
+// stateOf returns the state of a server, and creates it if needed.
 func (b *Balancer) stateOf(id incarnation.ID) *serverState {
 	s := b.states[id]
 	if s == nil {
@@ -379,7 +384,7 @@
 	return s
 }
 
-// Forget drops what is known of servers that no longer exist.
+// Forget drops the state of servers that no longer exist.
 func (b *Balancer) Forget(exists func(id incarnation.ID) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -390,7 +395,7 @@
 	}
 }
 
-// Costs returns what was learnt of each service's turns.
+// Costs returns the learnt costs of turns, by service.
 func (b *Balancer) Costs() map[string]policy.Costs {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -16,7 +16,7 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// id names the only start of a server.
+// id returns the ID of a server that has one start only.
 func id(server string) incarnation.ID { return incarnation.ID{Server: server} }
 
 func servers(n int) []*catalog.Server {
@@ -71,10 +71,10 @@
 			assert.Equal(t, choice.Server.ID, id("1"))
 			choice.Done(balance.Answered)
 		}
-		// Rather a server that seems to fail than none.
+		// A server that seems to fail is better than none.
 		last := pick(t, b, balance.Request{Servers: servers(1)})
 		assert.Equal(t, last.Server.ID, id("0"))
-		last.Done(balance.Abandoned) // a request that is left without an answer would count against it too
+		last.Done(balance.Abandoned) // a request without a response would count against it too
 		time.Sleep(time.Second)
 		seen := map[incarnation.ID]bool{}
 		for range 20 {
@@ -96,7 +96,8 @@
 	assert.Equal(t, len(seen), 2)
 }
 
-// TestTurnsPreferCachedPrompt: unless that server is far busier.
+// TestTurnsPreferCachedPrompt checks that turns go to the server that has cached their prompt, unless it is far
+// busier.
 func TestTurnsPreferCachedPrompt(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	b.RecordCached(turn.CachedPrompt{Server: id("2"), Part: "own", Held: 3800})
@@ -111,7 +112,7 @@
 	for range 20 {
 		counts[pick(t, b, req).Server.ID]++
 	}
-	assert.Assert(t, counts[id("2")] < 20, "all of 20 turns went to a server with over 30 in flight")
+	assert.Assert(t, counts[id("2")] < 20, "all of 20 turns went to the server with over 30 in flight")
 }
 
 func TestSharedPartsAreRemembered(t *testing.T) {
@@ -132,8 +133,8 @@
 	assert.Equal(t, pick(t, b, balance.Request{Servers: servers(1)}).InFlight, 0)
 }
 
-// TestUnresponsiveServerIsAvoided: a server that keeps one request waiting for much longer than is usual is passed
-// over until it answers.
+// TestUnresponsiveServerIsAvoided checks that a server that keeps one request waiting for much longer than usual is
+// avoided until it responds.
 func TestUnresponsiveServerIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
@@ -170,8 +171,8 @@
 	})
 }
 
-// TestPeerSuspicionCounts: a server that others suspect gets nothing, unless too many are suspected or no other
-// is left.
+// TestPeerSuspicionCounts checks that a server that others suspect is avoided, unless too many are suspected or no
+// other is left.
 func TestPeerSuspicionCounts(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	b.SetPeerReports(map[incarnation.ID]int{id("0"): 1}, nil)
@@ -187,7 +188,8 @@
 	assert.Equal(t, len(seen), 4)
 }
 
-// TestPartitionedDaemonSuspectsNobody: where most servers seem dead, the daemon's own network is the likelier cause.
+// TestPartitionedDaemonSuspectsNobody checks that a daemon to which most servers seem dead suspects none: its own
+// network is the likelier cause.
 func TestPartitionedDaemonSuspectsNobody(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	fail := func(place int) {
@@ -205,8 +207,8 @@
 	assert.Equal(t, len(b.Suspects()), 0)
 }
 
-// TestCacheMattersUnderLoad: to leave the server that holds a short prompt costs nothing on idle
-// servers, and holds others up on busy ones.
+// TestCacheMattersUnderLoad checks that leaving the server that has cached a short prompt is free on idle servers,
+// and avoided on busy ones, where it delays other calls.
 func TestCacheMattersUnderLoad(t *testing.T) {
 	for peers, stays := range map[int]bool{0: false, 50: true} {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
@@ -217,7 +219,7 @@
 		}
 		b.RecordCached(turn.CachedPrompt{Server: id("1"), Part: "own", Held: 300})
 		req := balance.Request{Servers: list[1:2], PromptTokens: 400, Parts: []call.PromptPart{{ID: "own", Tokens: 400}}}
-		for range 5 { // and more on the one that holds the prompt
+		for range 5 { // and more on the one that has cached the prompt
 			pick(t, b, req)
 		}
 		req.Servers = list
@@ -225,7 +227,8 @@
 	}
 }
 
-// TestConnectedServersArePreferred: a new connection costs a trip, so it is opened where the connected servers are busier.
+// TestConnectedServersArePreferred checks that a new connection, which costs a round trip, is only opened where the
+// connected servers are busier.
 func TestConnectedServersArePreferred(t *testing.T) {
 	for _, tokens := range []int64{0, 100} {
 		b := balance.New("front", place.Topology{DataCentre: "here"})
@@ -233,7 +236,7 @@
 		req := balance.Request{Servers: servers(20), PromptTokens: tokens, Connected: connected}
 		first := pick(t, b, req)
 		assert.Equal(t, first.Server.ID, id("3"))
-		assert.Assert(t, pick(t, b, req).Server.ID != id("3"), "the connected server has a request more than the others")
+		assert.Assert(t, pick(t, b, req).Server.ID != id("3"), "the connected server has one request more than the others")
 		first.Done(balance.Answered)
 		assert.Equal(t, pick(t, b, req).Server.ID, id("3"))
 	}
--- a/internal/front/balance/cold.go
+++ b/internal/front/balance/cold.go
@@ -7,8 +7,8 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// inColdWindow tells whether it is this daemon's turn to send a request to a cold server. It never is before the daemon knows how
-// many there are.
+// inColdWindow reports whether this daemon may send a request to a cold server now. It may not before it knows how
+// many daemons there are.
 func (b *Balancer) inColdWindow(req *Request, server *catalog.Server, now time.Time) bool {
 	if !b.peerDemandKnown {
 		return false
--- a/internal/front/balance/cold_test.go
+++ b/internal/front/balance/cold_test.go
@@ -15,16 +15,16 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// What a cold server bears a second, and what it may get in the worst second.
+// coldPerSecond is how many requests a second a cold server can take, coldMost how many it may get in any second.
 const (
 	coldPerSecond = 24.0
 	coldMost      = coldPerSecond*1.5 + 5
 )
 
-// arrivals are when each server got requests.
+// arrivals holds when each server got requests.
 type arrivals map[incarnation.ID][]time.Time
 
-// worst returns the most requests that any server got within any second.
+// worst returns the largest number of requests that a server got within a second.
 func (a arrivals) worst() int {
 	most := 0
 	for _, times := range a {
@@ -39,8 +39,8 @@
 	return most
 }
 
-// simulateColdStart lets daemons send perSecond requests a second to warm servers and to cold ones that have just come, all at once
-// at the start, and returns what the cold ones got. bounded tells whether the cold ones' service names a bound.
+// simulateColdStart lets daemons send perSecond requests a second to warm servers and to cold ones that all start at
+// once, and returns what the cold ones got. bounded tells whether the service bounds what cold servers get.
 func simulateColdStart(t *testing.T, seed uint64, daemons, warm, cold, perSecond int, bounded bool) (got arrivals, refused int) {
 	random := rand.New(rand.NewPCG(seed, 9))
 	var balancers []*balance.Balancer
@@ -83,26 +83,27 @@
 	return got, refused
 }
 
-// TestColdServersAreNotOverloaded: over all daemons, in any second, with warm servers beside them and without.
+// TestColdServersAreNotOverloaded checks that all daemons together stay within the rate of a cold server in any
+// second, with warm servers and without.
 func TestColdServersAreNotOverloaded(t *testing.T) {
 	for _, daemons := range []int{8, 62, 259} {
 		for seed := range uint64(5) {
 			synctest.Test(t, func(t *testing.T) {
 				got, refused := simulateColdStart(t, seed, daemons, 30, 15, 600, true)
-				assert.Equal(t, len(got), 0, "warm servers take all")
+				assert.Equal(t, len(got), 0, "warm servers must get all requests")
 				assert.Equal(t, refused, 0)
 			})
 			synctest.Test(t, func(t *testing.T) {
 				got, _ := simulateColdStart(t, seed, daemons, 0, 15, 600, true)
 				worst := got.worst()
-				assert.Assert(t, float64(worst) <= coldMost, "%d daemons, seed %d: %d in a second", daemons, seed, worst)
-				assert.Assert(t, worst > 0, "they are used")
+				assert.Assert(t, float64(worst) <= coldMost, "%d daemons, seed %d: %d requests in a second", daemons, seed, worst)
+				assert.Assert(t, worst > 0, "cold servers must get some requests")
 			})
 		}
 	}
 }
 
-// TestColdOverloadIsDetected what goes wrong where nothing bounds them.
+// TestColdOverloadIsDetected checks that without a bound the check of cold servers fails.
 func TestColdOverloadIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		got, _ := simulateColdStart(t, 1, 62, 0, 3, 600, false)
@@ -110,7 +111,8 @@
 	})
 }
 
-// TestColdServersUnusedBeforePeersAreKnown: a daemon that does not know how many there are sends them nothing.
+// TestColdServersUnusedBeforePeersAreKnown checks that a daemon that does not know how many daemons there are sends
+// nothing to cold servers.
 func TestColdServersUnusedBeforePeersAreKnown(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	list := servers(3)
--- a/internal/front/balance/connections_test.go
+++ b/internal/front/balance/connections_test.go
@@ -17,7 +17,7 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// callKinds are plain calls as agent programs make them: how long they take in the mean, and their share.
+// callKinds are plain calls as agent programs make them, with their mean duration and their share.
 var callKinds = []struct {
 	route string
 	mean  time.Duration
@@ -28,14 +28,14 @@
 	{"sync", 208 * time.Millisecond, 0.1},
 }
 
-// idleConnections keeps which servers a daemon has a idleConnections connection to.
+// idleConnections tracks the servers to which a daemon has an idle connection.
 type idleConnections struct {
 	mu     sync.Mutex
 	since  map[incarnation.ID]time.Time
 	opened int
 }
 
-// idleTimeout is how long a server keeps a connection that rests.
+// idleTimeout is how long a server keeps an idle connection.
 const idleTimeout = 4 * time.Second
 
 func (r *idleConnections) has(server *catalog.Server) bool {
@@ -45,7 +45,7 @@
 	return there && time.Since(at) < idleTimeout
 }
 
-// take uses the resting connection, or opens one.
+// take uses the idle connection, or opens one.
 func (r *idleConnections) take(server *catalog.Server) {
 	if !r.has(server) {
 		r.opened++
@@ -61,9 +61,9 @@
 	r.since[server.ID] = time.Now()
 }
 
-// TestFewConnectionsAreOpened: a daemon with 8 calls a second before 145 servers in five data centres, 29 in its own, for a minute.
-// Calls vary by as much as their mean (log-normal). Where servers counted as slow by the mean of all their calls, of whatever
-// kind, it opened 35 connections for 468 calls; now 23.
+// TestFewConnectionsAreOpened simulates a minute of a daemon with 8 calls a second on 145 servers in five data
+// centres, 29 in its own; durations vary by as much as their mean (log-normal). It guards against opening connections
+// because servers that got long calls count as slow.
 func TestFewConnectionsAreOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(5, 6))
--- a/internal/front/balance/connecttime.go
+++ b/internal/front/balance/connecttime.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// defaultInterRegionRTT is how long the way to another region and back takes until it is learnt, in seconds.
+	// defaultInterRegionRTT is the round-trip time to another region until one was observed, in seconds.
 	defaultInterRegionRTT = 0.02
-	// connectTimeWeight is the weight of the newest connection in the mean of a way.
+	// connectTimeWeight is the weight of the newest connection in the average of a data centre.
 	connectTimeWeight = 0.1
-	// defaultLatency is how long an answer takes until it is learnt, in seconds.
+	// defaultLatency is the duration of a response until one was observed, in seconds.
 	defaultLatency = 0.1
 )
 
-// RecordConnectTime notes how long a connection to a data centre took: the way there and back.
+// RecordConnectTime records how long it took to connect to a data centre, which is one round trip.
 func (b *Balancer) RecordConnectTime(dataCentre string, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	updateMean(b.connectTimes, dataCentre, took.Seconds(), connectTimeWeight)
 }
 
-// interRegionRTT returns how long the way to another region and back takes, in seconds; 0 within the own one, whose ways are short.
+// interRegionRTT returns the round-trip time to a data centre in another region, in seconds; 0 within this region.
 func (b *Balancer) interRegionRTT(dataCentre string) float64 {
 	if b.topology.DistanceTo(dataCentre) != place.OtherRegion {
 		return 0
@@ -33,7 +33,7 @@
 	return defaultInterRegionRTT
 }
 
-// typicalLatency returns how long an answer on a route takes in the mean, in seconds.
+// typicalLatency returns the mean duration of a response on a route, in seconds.
 func (b *Balancer) typicalLatency(route string) float64 {
 	if mean := b.latencies[route]; mean > 0 {
 		return mean
--- a/internal/front/balance/connecttime_test.go
+++ b/internal/front/balance/connecttime_test.go
@@ -14,8 +14,8 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// TestTurnsStayInTheirRegion while it has places, also where another region's server holds a part of the prompt; and go away
-// where every place at home is taken.
+// TestTurnsStayInTheirRegion checks that turns stay in their region, also where a server of another region has cached
+// part of the prompt, and leave it when its servers are busy.
 func TestTurnsStayInTheirRegion(t *testing.T) {
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	list := []*catalog.Server{{ID: id("home"), Service: "svc", DataCentre: "a2", Slots: 8}, {ID: id("away"), Service: "svc", DataCentre: "b1", Slots: 8}}
@@ -27,17 +27,17 @@
 		b.RecordConnectTime("b1", 30*time.Millisecond)
 	}
 	b.RecordCached(turn.CachedPrompt{Server: id("away"), Part: "shared", Held: 800})
-	assert.Equal(t, pick(t, b, req()).Server.ID, id("home"), "800 tokens are read in 16 ms")
+	assert.Equal(t, pick(t, b, req()).Server.ID, id("home"), "processing 800 tokens takes 16 ms")
 	went := 0
 	for range 20 {
 		if pick(t, b, req()).Server.ID == id("away") {
 			went++
 		}
 	}
-	assert.Assert(t, went > 0, "the servers at home have 20 calls")
+	assert.Assert(t, went > 0, "no turn left a region whose server has 20 calls")
 }
 
-// TestPlainCallsStayInTheirRegion too.
+// TestPlainCallsStayInTheirRegion checks the same for requests that are not turns.
 func TestPlainCallsStayInTheirRegion(t *testing.T) {
 	regions := map[string]string{"a1": "a", "b1": "b"}
 	var list []*catalog.Server
--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -31,19 +31,19 @@
 		fail(2)
 		fail(3)
 		pick(t, b, balance.Request{Servers: servers(4)[3:]}).Done(balance.Answered)
-		assert.DeepEqual(t, b.Failing(), []incarnation.ID{id("2")}) // what answered since is not failing
+		assert.DeepEqual(t, b.Failing(), []incarnation.ID{id("2")}) // a server that has answered since is not failing
 		time.Sleep(3 * time.Second)
 		assert.Equal(t, len(b.Failing()), 0)
 	})
 }
 
-// crowd is many daemons that send to the same servers and swap what they have seen.
+// crowd is a set of daemons that send to the same servers and exchange reports.
 type crowd struct {
 	daemons []*balance.Balancer
 	hub     *exchange.Service
 	servers []*catalog.Server
 	random  *rand.Rand
-	// tells lets daemons tell what fails them.
+	// tells is set if daemons report which servers fail them.
 	tells bool
 	// demand is how many calls all daemons have under way.
 	demand int
@@ -63,7 +63,7 @@
 	return c
 }
 
-// swap lets a daemon tell the others what it has seen, and learn of theirs.
+// swap sends a daemon's report to the hub and applies the reply.
 func (c *crowd) swap(place int) error {
 	b := c.daemons[place]
 	args := &exchange.Args{From: fmt.Sprint(place), Suspects: b.Suspects()}
@@ -77,8 +77,8 @@
 	return err
 }
 
-// play sends so many requests a second to each server for a time, and returns the tries that failed. fails tells whether a
-// server answers a request at a time.
+// play sends perSecond requests a second per server for a time, and returns how many tries failed. fails tells
+// whether a server fails a request at a time.
 func (c *crowd) play(t *testing.T, perSecond int, length time.Duration, fails func(server int, at time.Duration) bool) (failed int) {
 	const step = 10 * time.Millisecond
 	c.demand = int(callTime.Seconds() * float64(perSecond*len(c.servers)))
@@ -107,10 +107,8 @@
 	return failed
 }
 
-// TestPeerReportsLimitFailures: 259 daemons before 145 servers with 10 requests a second each, of which 11 go down and
-// up each half second for 7 s. No daemon meets one of them twice soon. Each try at one that is down fails a caller's call that
-// must not run twice. Where daemons kept it to themselves 315 to 360 tries failed before 57 daemons and more (180 to 210 before
-// 7, which meet them twice); now 115 to 160.
+// TestPeerReportsLimitFailures has 11 of 145 servers go down and up every half second for 7 s. Among many daemons
+// none meets one of them twice soon, so only reports of other daemons keep requests away from them.
 func TestPeerReportsLimitFailures(t *testing.T) {
 	flapping := func(server int, at time.Duration) bool { return server < 11 && at/(500*time.Millisecond)%2 == 0 }
 	for _, daemons := range []int{7, 57, 259, 400} {
@@ -122,12 +120,12 @@
 				return failed
 			}
 			alone, together := play(false), play(true)
-			assert.Assert(t, together <= 220, "%d tries failed, %d where nobody tells", together, alone)
+			assert.Assert(t, together <= 220, "%d tries failed, %d without reports", together, alone)
 		})
 	}
 }
 
-// TestFewLostResponsesLeaveServersInUse: 87 of 145 servers lose three answers in a hundred. They are not left alone for it.
+// TestFewLostResponsesLeaveServersInUse checks that servers that lose 3% of their responses are not avoided for it.
 func TestFewLostResponsesLeaveServersInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCrowd(259, 145, true)
@@ -138,6 +136,6 @@
 				avoided++
 			}
 		}
-		assert.Assert(t, avoided <= 145/10, "%d servers are left alone", avoided)
+		assert.Assert(t, avoided <= 145/10, "%d servers are avoided", avoided)
 	})
 }
--- a/internal/front/balance/load.go
+++ b/internal/front/balance/load.go
@@ -8,24 +8,24 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// peerLoadWeight is the weight of the newest report in what others have on a server: at a report each 300 ms the
-// memory is of a second.
+// peerLoadWeight is the weight of the newest report in serverState.peerCalls: with a report every 300 ms it averages
+// over about a second.
 const peerLoadWeight = 0.3
 
-// loadUnit is the unit in which daemons tell one another of calls in the mean.
+// loadUnit is the unit in which daemons report their mean number of calls.
 const loadUnit = 0.1
 
-// addInFlight changes the calls in flight.
+// addInFlight changes the number of calls in flight, and accounts for those up to now.
 func (s *serverState) addInFlight(now time.Time, by int) {
 	s.callSeconds += float64(s.inFlight) * now.Sub(s.updatedAt).Seconds()
 	s.updatedAt = now
 	s.inFlight += by
 }
 
-// hasPrompts tells whether turns went to the server.
+// hasPrompts reports whether the server has cached prompt parts, which only model servers do.
 func (s *serverState) hasPrompts() bool { return s.parts.order.Len() > 0 }
 
-// Loads returns the turns of this daemon at model servers in the mean since the last call, in tenths.
+// Loads returns the mean number of turns of this daemon on model servers since the last call, in tenths.
 func (b *Balancer) Loads() map[incarnation.ID]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,7 +43,7 @@
 	return loads
 }
 
-// SetPeerLoads tells the turns of other daemons at model servers, in tenths.
+// SetPeerLoads sets the mean number of turns of other daemons on model servers, in tenths.
 func (b *Balancer) SetPeerLoads(loads map[incarnation.ID]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,8 +58,8 @@
 	b.meanPeerCalls = sum / float64(max(1, servers))
 }
 
-// UnloadedDuration returns how long a turn with so many tokens out takes on an idle server that holds as much of its prompt as
-// any does.
+// UnloadedDuration returns how long a turn that generates the given number of tokens takes on an idle server that has
+// cached as much of its prompt as any server has.
 func (b *Balancer) UnloadedDuration(req *Request, generated int64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +71,7 @@
 	return time.Duration(b.model(req.Servers[0].Service).Expected(o) * float64(time.Second))
 }
 
-// bestCached returns the server that is known to hold most of a prompt, and how many tokens it holds.
+// bestCached returns the server that has cached most of a prompt, and how many tokens it has.
 func (b *Balancer) bestCached(req *Request) (holder incarnation.ID, tokens int64) {
 	for id, s := range b.states {
 		if cached := s.parts.cachedTokens(req.Parts); cached > tokens {
@@ -81,8 +81,8 @@
 	return holder, tokens
 }
 
-// cacheHolder returns the server that is known to hold most of a turn's prompt, or nil where none does or all servers are
-// weighed anyway.
+// cacheHolder returns the server that has cached most of a turn's prompt; nil where none has cached any, or all
+// servers are considered anyway.
 func (b *Balancer) cacheHolder(req *Request) *catalog.Server {
 	if req.PromptTokens == 0 || req.Lookup == nil || req.subsetSize >= len(req.Servers) {
 		return nil
--- a/internal/front/balance/memory_test.go
+++ b/internal/front/balance/memory_test.go
@@ -18,10 +18,10 @@
 	return int64(m.HeapAlloc)
 }
 
-// maxBytes is what a daemon may remember of servers after ten turns, however many servers there are.
+// maxBytes is what a balancer may use after ten turns, however many servers there are.
 const maxBytes = 64 << 10
 
-// TestMemoryFollowsUsedServers, and not those that there are.
+// TestMemoryFollowsUsedServers checks that memory grows with the servers used, not with those that exist.
 func TestMemoryFollowsUsedServers(t *testing.T) {
 	list := servers(10_000)
 	b := balance.New("front", place.Topology{DataCentre: "here"})
@@ -40,7 +40,7 @@
 	runtime.KeepAlive(list)
 }
 
-// BenchmarkTurn is the choice of a server for a turn among 5,000, of which a daemon has met few.
+// BenchmarkTurn chooses a server for a turn among 5,000, of which the daemon has used few.
 func BenchmarkTurn(b *testing.B) {
 	list := servers(5000)
 	balancer := balance.New("front", place.Topology{DataCentre: "here"})
--- a/internal/front/balance/outcome.go
+++ b/internal/front/balance/outcome.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Outcome is how a request at a server ended.
+// Outcome is how a request to a server ended.
 type Outcome int
 
-// The outcomes.
+// Values of Outcome.
 const (
-	// Answered requests got a whole answer in time.
+	// Answered requests got a complete response in time.
 	Answered Outcome = iota
-	// Shed requests were turned away by a server that is full.
+	// Shed requests were rejected by a server that is full.
 	Shed
-	// Failed requests got no usable answer.
+	// Failed requests got no usable response.
 	Failed
-	// Abandoned requests were given up by their caller: they tell nothing of the server.
+	// Abandoned requests were given up by their caller: they say nothing about the server.
 	Abandoned
 	// HedgeLost requests were given up since another server answered first.
 	HedgeLost
 )
 
-// HeadReceived tells that the head of the answer is there.
+// HeadReceived records that the head of the response has arrived.
 func (c *Choice) HeadReceived() {
 	b := c.balancer
 	b.mu.Lock()
@@ -34,7 +34,7 @@
 	updateMean(b.headLatencies, c.route, time.Since(c.sentAt).Seconds(), latencyWeight)
 }
 
-// stopWaiting takes the request off those without an answer. It is called with the lock held.
+// stopWaiting removes the request from those without a response. It is called with the lock held.
 func (c *Choice) stopWaiting() {
 	if c.headReceived {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// Done tells how the request ended.
+// Done records how the request ended. Only the first call has an effect.
 func (c *Choice) Done(outcome Outcome) {
 	if c.done {
 		return
@@ -82,13 +82,13 @@
 	}
 }
 
-// ejectionFor returns how long a server is passed over after so many failures in a row, the last of them in silence or not;
-// spare tells that there are more servers than the work needs.
+// ejectionFor returns how long a server is ejected after the given number of consecutive failures. unresponsive tells
+// whether the last one got no response at all, hasSpare whether there are more servers than the load needs.
 func ejectionFor(failures int, unresponsive, hasSpare bool) time.Duration {
 	switch {
-	case unresponsive && hasSpare: // to try it again costs a request, and to leave it alone nothing
+	case unresponsive && hasSpare: // trying it again costs a request, avoiding it nothing
 		return spareEjectTime
-	case unresponsive: // it is more likely dead than unlucky, and the other daemons should hear of it for a while
+	case unresponsive: // it is probably dead, and the other daemons have to hear of it meanwhile
 		return maxEject
 	case failures >= ejectAfter:
 		return min(ejectTime<<min(failures-ejectAfter, 4), maxEject)
@@ -97,7 +97,7 @@
 	}
 }
 
-// observeCost tells the service's model what a turn took. It is called with the lock held.
+// observeCost feeds the duration of a turn to the cost model of its service. It is called with the lock held.
 func (c *Choice) observeCost(now time.Time) {
 	if c.Generated == 0 {
 		return
@@ -107,13 +107,13 @@
 	c.balancer.model(c.Server.Service).Observe(c.observed)
 }
 
-// observeLatency compares an answer's time with its route's. It is called with the lock held.
+// observeLatency compares the duration of a response with the average of its route. It is called with the lock held.
 func (b *Balancer) observeLatency(route string, s *serverState, seconds float64) {
 	s.latency.Observe(seconds, b.latencies[route])
 	updateMean(b.latencies, route, seconds, latencyWeight)
 }
 
-// updateMean moves a mean towards a new value; the first value is taken whole.
+// updateMean moves an average towards a new value; the first value is taken as it is.
 func updateMean(means map[string]float64, name string, value, weight float64) {
 	mean, known := means[name]
 	if !known {
--- a/internal/front/balance/parts.go
+++ b/internal/front/balance/parts.go
@@ -8,18 +8,17 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// maxParts bounds the prompt parts remembered of one server. Engines so far hold 70,000 to 340,000 tokens, and
-// parts have some 300.
+// maxParts bounds the prompt parts remembered for one server.
 const maxParts = 1024
 
-// partCache remembers what a server has of prompts, forgetting those parts first that were used longest ago, as
-// engines do. Forgetting those first that were read first would lose the shared parts.
+// partCache tracks which prompt parts a server has cached. It evicts the least recently used parts, as engines do;
+// evicting the oldest ones would lose the shared parts.
 type partCache struct {
 	byID  map[string]*list.Element
-	order *list.List // of *heldPart, the one used last in front
+	order *list.List // of *cachedPart, the most recently used in front
 }
 
-// cachedPart is a part with the tokens of it that the server holds: the part of a session grows with each turn.
+// cachedPart is a part and how many of its tokens are cached: the part of a session grows with each turn.
 type cachedPart struct {
 	id     string
 	tokens int64
@@ -29,7 +28,7 @@
 	return &partCache{byID: map[string]*list.Element{}, order: list.New()}
 }
 
-// add notes that the server holds tokens of a part.
+// add records that the server has cached tokens of a part.
 func (c *partCache) add(id string, tokens int64) {
 	e := c.byID[id]
 	if e == nil {
@@ -45,15 +44,15 @@
 	}
 }
 
-// addPrompt notes that the server reads a prompt.
+// addPrompt records that the server reads a prompt.
 func (c *partCache) addPrompt(parts []call.PromptPart) {
 	for _, part := range parts {
 		c.add(part.ID, part.Tokens)
 	}
 }
 
-// cachedTokens returns how many tokens at the start of a prompt the server holds. A part is of use only behind all
-// before it, so a server that is known to hold one holds those too.
+// cachedTokens returns how many tokens at the start of a prompt are cached. A part is only of use behind all parts
+// before it, so a server that has cached one has cached those too.
 func (c *partCache) cachedTokens(parts []call.PromptPart) int64 {
 	for i, part := range slices.Backward(parts) {
 		e := c.byID[part.ID]
@@ -69,7 +68,7 @@
 	return 0
 }
 
-// RecordCached notes what servers are known to hold, from this daemon or from others.
+// RecordCached records what servers have cached, as reported by this daemon or others.
 func (b *Balancer) RecordCached(places ...turn.CachedPrompt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/balance/parts_test.go
+++ b/internal/front/balance/parts_test.go
@@ -13,8 +13,8 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// TestPartsInUseAreNotEvicted: a shared part that comes with every prompt outlives the private ones, however
-// many of those there are.
+// TestPartsInUseAreNotEvicted checks that a shared part that comes with every prompt outlives the private ones,
+// however many of those there are.
 func TestPartsInUseAreNotEvicted(t *testing.T) {
 	p := newPartCache()
 	private := func(i int) []call.PromptPart {
@@ -24,11 +24,12 @@
 		p.addPrompt(private(i))
 	}
 	assert.Equal(t, p.cachedTokens(private(3*maxParts-1)), int64(600))
-	assert.Equal(t, p.cachedTokens(private(0)), int64(500), "the one used longest ago is forgotten")
+	assert.Equal(t, p.cachedTokens(private(0)), int64(500), "the least recently used part must be evicted")
 	assert.Equal(t, p.order.Len(), maxParts)
 }
 
-// TestSessionsPartGrows: what a server has of a session's part is what it read last, not what the session has now.
+// TestSessionsPartGrows checks that a server has cached of a session's part what it read last, not what the session
+// has now.
 func TestSessionsPartGrows(t *testing.T) {
 	p := newPartCache()
 	prompt := func(tokens int64) []call.PromptPart {
@@ -36,15 +37,15 @@
 	}
 	p.addPrompt(prompt(300))
 	assert.Equal(t, p.cachedTokens(prompt(900)), int64(800))
-	p.add("session", 380) // the answer
+	p.add("session", 380) // the response
 	assert.Equal(t, p.cachedTokens(prompt(900)), int64(880))
 	p.addPrompt(prompt(900))
 	assert.Equal(t, p.cachedTokens(prompt(900)), int64(1400))
 	assert.Equal(t, p.cachedTokens([]call.PromptPart{{ID: "other", Tokens: 400}, {ID: "new", Tokens: 100}}), int64(0))
 }
 
-// TestTurnsFollowPeerReports: what another daemon says of a session's server decides where its next turn goes,
-// though this daemon has never sent that server any part of the prompt.
+// TestTurnsFollowPeerReports checks that a session's next turn goes to the server that another daemon reports to have
+// cached its prompt, though this daemon never sent it any part of it.
 func TestTurnsFollowPeerReports(t *testing.T) {
 	a, b, c := incarnation.ID{Server: "a"}, incarnation.ID{Server: "b"}, incarnation.ID{Server: "c"}
 	list := []*catalog.Server{{ID: a, Slots: 8}, {ID: b, Slots: 8}, {ID: c, Slots: 8}}
--- a/internal/front/balance/restart.go
+++ b/internal/front/balance/restart.go
@@ -7,11 +7,12 @@
 	"github.com/rookpass/rookpass/internal/base/incarnation"
 )
 
-// ErrRestarted is the cause with which calls end whose server has started again.
-var ErrRestarted = errors.New("the server has started again")
+// ErrRestarted is the cancellation cause of calls whose server has restarted.
+var ErrRestarted = errors.New("server restarted")
 
-// CancelOnRestart lets the choice's call be cancelled with ErrRestarted once the server is known to have started again: the start
-// that was asked will never answer. Without it a call at a server that crashed behind a cut is silent until its deadline.
+// CancelOnRestart registers the function that cancels the choice's call with ErrRestarted once the server is known to
+// have restarted: the start that got the call will never answer. Without it a call to a server that crashed behind a
+// network partition would wait until its deadline.
 func (c *Choice) CancelOnRestart(cancel context.CancelCauseFunc) {
 	b := c.balancer
 	b.mu.Lock()
@@ -26,9 +27,8 @@
 	c.state.calls[c] = cancel
 }
 
-// ServerStarted takes note of a server's start, and cancels the calls at earlier ones. It returns how many those were. A start
-// that seems earlier than one with calls leaves them alone: the clock of the server's VM may have been set back, or the
-// word is old; those calls end as before, with their answer or their time.
+// ServerStarted records a server's start, cancels the calls to earlier starts, and returns how many those were. Calls
+// to a start that seems later stay: the clock of the server's VM may have been set back, or the report is old.
 func (b *Balancer) ServerStarted(id incarnation.ID) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/front/balance/restart_test.go
+++ b/internal/front/balance/restart_test.go
@@ -14,7 +14,7 @@
 	"github.com/rookpass/rookpass/internal/turns/turn"
 )
 
-// start is a server's start.
+// start returns the ID of a server's start.
 func start(server string, born int64) incarnation.ID {
 	return incarnation.ID{Server: server, Born: born}
 }
@@ -27,8 +27,8 @@
 	return list
 }
 
-// TestNewStartHasNoHistory: neither what a server holds of prompts, nor its speed, failures and load, nor what
-// others say of it.
+// TestNewStartHasNoHistory checks that neither cached prompts, latency, failures and load nor the reports of others
+// carry over to a server's next start.
 func TestNewStartHasNoHistory(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	old, new := startsOf("a", 1), startsOf("a", 2)
@@ -44,12 +44,13 @@
 	list := append(new, startsOf("b", 1)...)
 	list[1].DataCentre = "there"
 	choice := pick(t, b, balance.Request{Servers: list, PromptTokens: 1000, Parts: []call.PromptPart{{ID: "own", Tokens: 1000}}})
-	assert.Equal(t, choice.Server.ID, new[0].ID, "the start is neither ejected nor suspected nor loaded")
+	assert.Equal(t, choice.Server.ID, new[0].ID, "the new start must be neither ejected nor suspected nor loaded")
 	assert.Equal(t, choice.InFlight, 0)
-	assert.Equal(t, choice.Uncached, int64(1000), "it holds nothing of prompts")
+	assert.Equal(t, choice.Uncached, int64(1000), "its prompt cache must be empty")
 }
 
-// TestCallsAtEarlierStartsEnd: as soon as the later start is known, those that begin too late as well.
+// TestCallsAtEarlierStartsEnd checks that calls to an earlier start are cancelled once the later start is known, also
+// those registered after that.
 func TestCallsAtEarlierStartsEnd(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	causes := map[string]context.Context{}
@@ -70,7 +71,7 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	late.CancelOnRestart(cancel)
 	causes["bound too late"] = ctx
-	assert.Equal(t, b.ServerStarted(start("a", 1)), 0, "word that comes late ends nothing at the later start")
+	assert.Equal(t, b.ServerStarted(start("a", 1)), 0, "a late report must not end calls at the later start")
 	for name, ctx := range causes {
 		ended := name == "earlier" || name == "bound too late"
 		assert.Equal(t, context.Cause(ctx) == balance.ErrRestarted, ended, "call %q: %v", name, context.Cause(ctx))
--- a/internal/front/balance/subset.go
+++ b/internal/front/balance/subset.go
@@ -7,14 +7,14 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// Calls returns this daemon's calls under way at servers, by service.
+// Calls returns how many calls this daemon has under way, by service.
 func (b *Balancer) Calls() map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return maps.Clone(b.calls)
 }
 
-// SetPeerDemand tells what other daemons have under way and waiting, by service.
+// SetPeerDemand sets how many calls other daemons have under way or waiting, by service.
 func (b *Balancer) SetPeerDemand(peerDemand map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// subsetSize returns how many servers are weighed for a request: all before anything is known of the other daemons.
+// subsetSize returns how many servers are considered for a request: all until the demand of other daemons is known.
 func (b *Balancer) subsetSize(req *Request, now time.Time) int {
 	if len(req.Servers) == 0 || !b.peerDemandKnown {
 		return len(req.Servers)
@@ -36,7 +36,7 @@
 	return policy.SubsetSize(demand.Read(now), req.DataCentres)
 }
 
-// peakDemand returns the most calls of late that were under way or waiting at a service.
+// peakDemand returns the recent maximum of the calls under way or waiting at a service.
 func (b *Balancer) peakDemand(service string) *policy.DecayingMax {
 	p := b.demand[service]
 	if p == nil {
@@ -46,7 +46,7 @@
 	return p
 }
 
-// callEnded counts a call of this daemon as over.
+// callEnded counts a call of this daemon as ended.
 func (b *Balancer) callEnded(service string) {
 	if b.calls[service]--; b.calls[service] == 0 {
 		delete(b.calls, service)
--- a/internal/front/balance/subset_test.go
+++ b/internal/front/balance/subset_test.go
@@ -17,18 +17,18 @@
 	"github.com/rookpass/rookpass/internal/transport/call"
 )
 
-// lightFleet is many daemons that have little to do before many servers, both spread over five data centres.
+// lightFleet is many daemons with a light load on many servers, both spread over five data centres.
 type lightFleet struct {
 	random  *rand.Rand
 	hubs    []*exchange.Service
 	daemons []*lightDaemon
-	// tells lets daemons tell one another what they have under way.
+	// tells is set if daemons report their demand to one another.
 	tells bool
-	// dead servers answer nothing.
+	// dead servers don't answer.
 	dead map[incarnation.ID]bool
 
 	turns, failed, sharedReads int
-	// readBy are the servers that have read the shared part.
+	// readBy holds the servers that have read the shared part.
 	readBy map[incarnation.ID]bool
 }
 
@@ -44,7 +44,7 @@
 	lightStep         = 20 * time.Millisecond
 )
 
-// newLightFleet has 5.4 servers and half a turn a second for each daemon.
+// newLightFleet returns a fleet with 5.4 servers and half a turn a second for each daemon.
 func newLightFleet(daemons int, tells bool) *lightFleet {
 	f := &lightFleet{random: rand.New(rand.NewPCG(3, 4)), tells: tells, dead: map[incarnation.ID]bool{},
 		readBy: map[incarnation.ID]bool{}}
@@ -72,7 +72,7 @@
 	return f
 }
 
-// play lets the fleet work. Daemons swap as they do on a fleet of their number.
+// play runs the fleet for a time. Daemons report as often as in a fleet of their number.
 func (f *lightFleet) play(t *testing.T, length time.Duration) {
 	perHub := len(f.daemons)
 	if perHub > 150 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// hubOf returns where a daemon meets others: few all meet at one.
+// hubOf returns the hub to which a daemon reports: in a small fleet there is only one.
 func (f *lightFleet) hubOf(place int) *exchange.Service {
 	if len(f.daemons) <= 150 {
 		return f.hubs[0]
@@ -119,7 +119,7 @@
 	return f.hubs[place%len(f.hubs)]
 }
 
-// relay lets the hubs tell one another their sums.
+// relay lets the hubs report their sums to one another.
 func (f *lightFleet) relay(t *testing.T) {
 	for i, from := range f.hubs {
 		sums := from.Sums(fmt.Sprint("hub-", i))
@@ -131,7 +131,7 @@
 	}
 }
 
-// turn is a program's first turn.
+// turn runs a program's first turn.
 func (f *lightFleet) turn(t *testing.T, d *lightDaemon) {
 	req := balance.Request{Route: "r", Servers: d.servers, DataCentres: lightDataCentres, PromptTokens: 3590,
 		Parts: []call.PromptPart{{ID: "shared", Tokens: lightSharedTokens}, {ID: fmt.Sprint("own", f.turns), Tokens: 1030}}}
@@ -154,8 +154,8 @@
 	choice.Done(balance.Answered)
 }
 
-// TestLightFleetSharesCachedPrompts: how many servers read the shared part of a prompt follows the work, and not how many
-// daemons or servers there are. Where each daemon chooses among all servers, each makes one of its own read it.
+// TestLightFleetSharesCachedPrompts checks that the number of servers that read the shared part of a prompt follows
+// the load, and not the number of daemons or servers.
 func TestLightFleetSharesCachedPrompts(t *testing.T) {
 	for _, daemons := range []int{57, 259, 865} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestLightFleetAvoidsDeadServers: one in seven servers goes dark for good. Those next in order stand in for them, and word
-// of the dark ones goes round soon enough that few turns meet one.
+// TestLightFleetAvoidsDeadServers checks that when one in seven servers stops answering, the next in order replace
+// them, and reports spread soon enough that few turns meet a dead one.
 func TestLightFleetAvoidsDeadServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLightFleet(259, true)
@@ -188,7 +188,7 @@
 		before := f.turns
 		f.play(t, 10*time.Second)
 		share := float64(f.failed) / float64(f.turns-before)
-		t.Logf("%d of %d turns met a dark server: %.3f", f.failed, f.turns-before, share)
-		assert.Assert(t, share <= 0.07, "as many as half of those that would if nobody told: %.3f", share)
+		t.Logf("%d of %d turns met a dead server: %.3f", f.failed, f.turns-before, share)
+		assert.Assert(t, share <= 0.07, "at most half of the share without reports may meet one: %.3f", share)
 	})
 }
--- a/internal/front/balance/suspects.go
+++ b/internal/front/balance/suspects.go
@@ -7,7 +7,7 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// tooManySuspected tells whether others suspect so many servers that the rest could not bear the load.
+// tooManySuspected reports whether other daemons suspect so many servers that the rest could not take the load.
 func (b *Balancer) tooManySuspected(servers []*catalog.Server) bool {
 	limit := maxSuspectShare * float64(len(servers))
 	if float64(len(b.peerSuspects)+len(b.peerFailing)) <= limit {
@@ -22,19 +22,19 @@
 	return float64(n) > limit
 }
 
-// suspected tells whether other daemons make a server look dead.
+// suspected reports whether a server seems dead by the reports of other daemons.
 func (b *Balancer) suspected(id incarnation.ID) bool {
 	return b.peerSuspects[id] > 0 || b.peerFailing[id] >= failQuorum
 }
 
-// SetPeerReports tells how many other daemons suspect each server, and how many it failed last, just now.
+// SetPeerReports sets how many other daemons suspect each server, and for how many its last request failed recently.
 func (b *Balancer) SetPeerReports(reported, failing map[incarnation.ID]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.peerSuspects, b.peerFailing = reported, failing
 }
 
-// Failing returns the servers that failed this daemon last, within failingTime.
+// Failing returns the servers whose last response to this daemon was a failure, within failingWindow.
 func (b *Balancer) Failing() []incarnation.ID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +48,7 @@
 	return failing
 }
 
-// Suspects returns the servers that look dead here: those that failed repeatedly or keep requests waiting. It
+// Suspects returns the servers that seem dead to this daemon: those that failed repeatedly or are unresponsive. It
 // returns none where they are so many that this VM's own network is the likelier cause.
 func (b *Balancer) Suspects() []incarnation.ID {
 	b.mu.Lock()
@@ -66,18 +66,19 @@
 	return suspects
 }
 
-// View is what is known of one server.
+// View is the state of one server, for operators.
 type View struct {
 	InFlight int `json:"in_flight"`
-	// LatencyRatio is the mean time of its answers against that of like calls at all servers.
+	// LatencyRatio is the mean ratio of its response times to those of like calls on all servers.
 	LatencyRatio float64 `json:"pace"`
-	// Ejected servers failed repeatedly; Reported is how many other daemons suspect it, Failing how many it failed last.
+	// Ejected is set after repeated failures; Reported is how many other daemons suspect the server, Failing for how
+	// many its last request failed.
 	Ejected  bool `json:"ejected"`
 	Reported int  `json:"reported"`
 	Failing  int  `json:"failing"`
 }
 
-// View returns what is known of a server.
+// View returns the state of a server.
 func (b *Balancer) View(id incarnation.ID) View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
