--- a/internal/decide/policy/lease.go
+++ b/internal/decide/policy/lease.go
@@ -19,7 +19,7 @@
 	renewalTime = 2200 * time.Millisecond
 )
 
-// NewLeaseExpiry returns the values for owners that renew their entries every heartbeat.
+// NewLeaseExpiry returns the expiry times for owners that renew their entries every heartbeat.
 func NewLeaseExpiry(heartbeat time.Duration) LeaseExpiry {
 	return LeaseExpiry{MinOutage: time.Duration(expiryHeartbeats * float64(heartbeat)), Renewal: renewalTime}
 }
--- a/internal/decide/quota/bucket.go
+++ b/internal/decide/quota/bucket.go
@@ -119,7 +119,7 @@
 	b.tokens = min(b.tokens+1, b.capacity())
 }
 
-// Idle reports whether the bucket is full, like a new one, and can be dropped.
+// Idle reports whether the bucket is full, so that dropping it loses no information.
 func (b *Bucket) Idle(now time.Time) bool {
 	b.refill(now)
 	return b.tokens >= b.capacity()
--- a/internal/front/balance/outcome.go
+++ b/internal/front/balance/outcome.go
@@ -83,7 +83,8 @@
 }
 
 // ejectionFor returns how long a server is ejected after the given number of consecutive failures. unresponsive tells
-// whether the last one got no response at all, hasSpare whether there are more servers than the load needs.
+// whether the last one waited too long for its response head, hasSpare whether there are more servers than the load
+// needs.
 func ejectionFor(failures int, unresponsive, hasSpare bool) time.Duration {
 	switch {
 	case unresponsive && hasSpare: // trying it again costs a request, avoiding it nothing
