--- a/internal/decide/quota/compare_test.go
+++ b/internal/decide/quota/compare_test.go
@@ -36,23 +36,23 @@
 }
 func (s *staticShares) messages() int { return 0 }
 
-// gossip counts at each front; after every pause a front learns what all others counted at their last report.
+// gossip counts at each front; after every interval a front learns what all others counted at their last report.
 type gossip struct {
-	limit  float64
-	pause  time.Duration
-	own    [][]time.Time
-	seen   []int
-	told   []time.Time
-	report []int
-	sent   int
+	limit      float64
+	interval   time.Duration
+	own        [][]time.Time
+	seen       []int
+	reportedAt []time.Time
+	report     []int
+	sent       int
 }
 
 func newGossip(fronts int, l quota.Limit, now time.Time) limiter {
 	pause := 300 * time.Millisecond * time.Duration(max(1, (fronts+149)/150)) // the interval at which fronts exchange reports
-	g := &gossip{limit: l.PerSecond*tolerance.Window.Seconds() + l.Burst, pause: pause, own: make([][]time.Time, fronts), seen: make([]int, fronts),
-		told: make([]time.Time, fronts), report: make([]int, fronts)}
-	for i := range g.told {
-		g.told[i] = now.Add(-time.Duration(i) * pause / time.Duration(fronts))
+	g := &gossip{limit: l.PerSecond*tolerance.Window.Seconds() + l.Burst, interval: pause, own: make([][]time.Time, fronts), seen: make([]int, fronts),
+		reportedAt: make([]time.Time, fronts), report: make([]int, fronts)}
+	for i := range g.reportedAt {
+		g.reportedAt[i] = now.Add(-time.Duration(i) * pause / time.Duration(fronts))
 	}
 	return g
 }
@@ -67,10 +67,10 @@
 }
 
 func (g *gossip) take(front int, now time.Time) bool {
-	for i := range g.told {
-		for now.Sub(g.told[i]) >= g.pause {
-			g.told[i] = g.told[i].Add(g.pause)
-			g.report[i] = g.recent(i, g.told[i])
+	for i := range g.reportedAt {
+		for now.Sub(g.reportedAt[i]) >= g.interval {
+			g.reportedAt[i] = g.reportedAt[i].Add(g.interval)
+			g.report[i] = g.recent(i, g.reportedAt[i])
 			g.sent++
 			g.seen[i] = 0
 			for j, n := range g.report {
@@ -121,13 +121,13 @@
 		now := time.Unix(0, 0)
 		limit := quota.Limit{PerSecond: 1.6 * usual, Burst: 1.6 * usual}
 		w := make(fronts, limit, now)
-		places := r.Perm(fronts)[:min(through, fronts)]
+		used := r.Perm(fronts)[:min(through, fronts)]
 		var ran []time.Time
 		asked, refused := 0, 0
 		for end := now.Add(seconds * time.Second); now.Before(end); {
 			now = now.Add(time.Duration(r.ExpFloat64() / (usual * times) * float64(time.Second)))
 			asked++
-			if w.take(places[r.IntN(len(places))], now) {
+			if w.take(used[r.IntN(len(used))], now) {
 				ran = append(ran, now)
 			} else {
 				refused++
--- a/internal/decide/quota/window_test.go
+++ b/internal/decide/quota/window_test.go
@@ -42,44 +42,44 @@
 }
 
 // restart stops a replica, which returns after a time without its state.
-func (h *replicaSet) restart(i int, now time.Time, after time.Duration) {
-	h.buckets[i], h.downUntil[i] = nil, now.Add(after)
-	h.started[i] = h.downUntil[i]
+func (s *replicaSet) restart(i int, now time.Time, after time.Duration) {
+	s.buckets[i], s.downUntil[i] = nil, now.Add(after)
+	s.started[i] = s.downUntil[i]
 }
 
 // take asks like a front daemon that detects at once which replicas are down, and returns when the request may run.
-func (h *replicaSet) take(now time.Time, first bool) (time.Time, bool) {
+func (s *replicaSet) take(now time.Time, first bool) (time.Time, bool) {
 	granted, asked := 0, 0
 	var delay time.Duration
-	for i := range h.buckets {
+	for i := range s.buckets {
 		if asked == 3 {
 			break
 		}
-		if now.Before(h.downUntil[i]) {
+		if now.Before(s.downUntil[i]) {
 			continue
 		}
 		asked++
-		if h.buckets[i] == nil {
-			since := h.started[i]
+		if s.buckets[i] == nil {
+			since := s.started[i]
 			if i >= 3 {
 				since = now
 			}
-			h.buckets[i] = quota.NewBucket(tolerance, h.limit, h.version, since, now)
+			s.buckets[i] = quota.NewBucket(tolerance, s.limit, s.version, since, now)
 		}
 		if i >= 3 {
-			h.buckets[i].StandIn(now)
+			s.buckets[i].StandIn(now)
 		}
-		h.buckets[i].SetLimit(h.limit, h.version, now)
-		if h.reservedUntil.After(now) {
-			h.buckets[i].NoteReserved(h.reservedUntil.Sub(now), now)
+		s.buckets[i].SetLimit(s.limit, s.version, now)
+		if s.reservedUntil.After(now) {
+			s.buckets[i].NoteReserved(s.reservedUntil.Sub(now), now)
 		}
-		if answer := h.buckets[i].Take(first, now); answer.Granted {
+		if answer := s.buckets[i].Take(first, now); answer.Granted {
 			granted++
 			delay = max(delay, answer.Wait)
 		}
 	}
-	if at := now.Add(delay); granted >= 2 && at.After(h.reservedUntil) {
-		h.reservedUntil = at
+	if at := now.Add(delay); granted >= 2 && at.After(s.reservedUntil) {
+		s.reservedUntil = at
 	}
 	return now.Add(delay), granted >= 2
 }
@@ -114,15 +114,15 @@
 }
 
 // kill restarts some replicas, and in a third of the cases all of them.
-func (h *replicaSet) kill(now time.Time) {
-	for i := range [...]int{1, 2, 5}[h.r.IntN(3)] {
-		h.restart((i+h.r.IntN(5))%5, now, time.Duration(h.r.IntN(2000))*time.Millisecond)
+func (s *replicaSet) kill(now time.Time) {
+	for i := range [...]int{1, 2, 5}[s.r.IntN(3)] {
+		s.restart((i+s.r.IntN(5))%5, now, time.Duration(s.r.IntN(2000))*time.Millisecond)
 	}
-	if h.r.IntN(3) > 0 {
+	if s.r.IntN(3) > 0 {
 		return
 	}
-	for i := range h.buckets {
-		h.restart(i, now, time.Duration(h.r.IntN(1000))*time.Millisecond)
+	for i := range s.buckets {
+		s.restart(i, now, time.Duration(s.r.IntN(1000))*time.Millisecond)
 	}
 }
 
--- a/internal/front/balance/balance_test.go
+++ b/internal/front/balance/balance_test.go
@@ -192,9 +192,9 @@
 // network is the likelier cause.
 func TestPartitionedDaemonSuspectsNobody(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
-	fail := func(place int) {
+	fail := func(i int) {
 		for range 2 {
-			pick(t, b, balance.Request{Servers: servers(5)[place : place+1]}).Done(balance.Failed)
+			pick(t, b, balance.Request{Servers: servers(5)[i : i+1]}).Done(balance.Failed)
 		}
 	}
 	for i := range 5 {
--- a/internal/front/balance/crowd_test.go
+++ b/internal/front/balance/crowd_test.go
@@ -25,8 +25,8 @@
 			seen[pick(t, b, balance.Request{Servers: servers(4)}).Server.ID] = true
 		}
 		assert.DeepEqual(t, seen, map[incarnation.ID]bool{id("1"): true, id("2"): true, id("3"): true})
-		fail := func(place int) {
-			pick(t, b, balance.Request{Servers: servers(4)[place : place+1]}).Done(balance.Failed)
+		fail := func(i int) {
+			pick(t, b, balance.Request{Servers: servers(4)[i : i+1]}).Done(balance.Failed)
 		}
 		fail(2)
 		fail(3)
@@ -43,8 +43,8 @@
 	hub     *exchange.Service
 	servers []*catalog.Server
 	random  *rand.Rand
-	// tells is set if daemons report which servers fail them.
-	tells bool
+	// reportFailing is set if daemons report which servers fail them.
+	reportFailing bool
 	// demand is how many calls all daemons have under way.
 	demand int
 }
@@ -52,8 +52,8 @@
 // callTime is how long a call counts as under way.
 const callTime = 150 * time.Millisecond
 
-func newCrowd(daemons, servers int, tells bool) *crowd {
-	c := &crowd{hub: exchange.NewService(), random: rand.New(rand.NewPCG(1, 2)), tells: tells}
+func newCrowd(daemons, servers int, reportFailing bool) *crowd {
+	c := &crowd{hub: exchange.NewService(), random: rand.New(rand.NewPCG(1, 2)), reportFailing: reportFailing}
 	for range daemons {
 		c.daemons = append(c.daemons, balance.New("front", place.Topology{DataCentre: "here"}))
 	}
@@ -64,10 +64,10 @@
 }
 
 // swap sends a daemon's report to the hub and applies the reply.
-func (c *crowd) swap(place int) error {
-	b := c.daemons[place]
-	args := &exchange.Args{From: fmt.Sprint(place), Suspects: b.Suspects()}
-	if c.tells {
+func (c *crowd) swap(i int) error {
+	b := c.daemons[i]
+	args := &exchange.Args{From: fmt.Sprint(i), Suspects: b.Suspects()}
+	if c.reportFailing {
 		args.Failing = b.Failing()
 	}
 	var reply exchange.Reply
@@ -84,18 +84,18 @@
 	c.demand = int(callTime.Seconds() * float64(perSecond*len(c.servers)))
 	pause := int(exchange.ReportIntervalFor(len(c.daemons)) / step)
 	for tick := range int(length / step) {
-		for place := tick % pause; place < len(c.daemons); place += pause {
-			assert.NilError(t, c.swap(place))
+		for i := tick % pause; i < len(c.daemons); i += pause {
+			assert.NilError(t, c.swap(i))
 		}
 		for range perSecond * len(c.servers) / int(time.Second/step) {
 			b := c.daemons[c.random.IntN(len(c.daemons))]
 			choice, found := b.Pick(&balance.Request{Route: "r", Servers: c.servers})
 			assert.Assert(t, found)
-			var place int
-			_, err := fmt.Sscan(choice.Server.ID.Server, &place)
+			var server int
+			_, err := fmt.Sscan(choice.Server.ID.Server, &server)
 			assert.NilError(t, err)
 			choice.HeadReceived()
-			if fails(place, time.Duration(tick)*step) {
+			if fails(server, time.Duration(tick)*step) {
 				failed++
 				choice.Done(balance.Failed)
 			} else {
@@ -113,9 +113,9 @@
 	flapping := func(server int, at time.Duration) bool { return server < 11 && at/(500*time.Millisecond)%2 == 0 }
 	for _, daemons := range []int{7, 57, 259, 400} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
-			play := func(tells bool) (failed int) {
+			play := func(reportFailing bool) (failed int) {
 				synctest.Test(t, func(t *testing.T) {
-					failed = newCrowd(daemons, 145, tells).play(t, 10, 7*time.Second, flapping)
+					failed = newCrowd(daemons, 145, reportFailing).play(t, 10, 7*time.Second, flapping)
 				})
 				return failed
 			}
--- a/internal/front/balance/subset_test.go
+++ b/internal/front/balance/subset_test.go
@@ -22,8 +22,8 @@
 	random  *rand.Rand
 	hubs    []*exchange.Service
 	daemons []*lightDaemon
-	// tells is set if daemons report their demand to one another.
-	tells bool
+	// reportDemand is set if daemons report their demand to one another.
+	reportDemand bool
 	// dead servers don't answer.
 	dead map[incarnation.ID]bool
 
@@ -45,8 +45,8 @@
 )
 
 // newLightFleet returns a fleet with 5.4 servers and half a turn a second for each daemon.
-func newLightFleet(daemons int, tells bool) *lightFleet {
-	f := &lightFleet{random: rand.New(rand.NewPCG(3, 4)), tells: tells, dead: map[incarnation.ID]bool{},
+func newLightFleet(daemons int, reportDemand bool) *lightFleet {
+	f := &lightFleet{random: rand.New(rand.NewPCG(3, 4)), reportDemand: reportDemand, dead: map[incarnation.ID]bool{},
 		readBy: map[incarnation.ID]bool{}}
 	for range lightDataCentres {
 		f.hubs = append(f.hubs, exchange.NewService())
@@ -82,8 +82,8 @@
 	perStep := 0.52 * float64(len(f.daemons)) * lightStep.Seconds()
 	due := 0.0
 	for tick := range int(length / lightStep) {
-		for place := tick % pause; place < len(f.daemons); place += pause {
-			f.swap(t, place)
+		for i := tick % pause; i < len(f.daemons); i += pause {
+			f.swap(t, i)
 		}
 		if tick%int(exchange.ReportInterval/lightStep) == 0 {
 			f.relay(t)
@@ -97,26 +97,26 @@
 	time.Sleep(10 * time.Second)
 }
 
-func (f *lightFleet) swap(t *testing.T, place int) {
-	d := f.daemons[place]
-	args := &exchange.Args{From: fmt.Sprint(place), Suspects: d.balancer.Suspects(), Failing: d.balancer.Failing(), Loads: d.balancer.Loads(),
+func (f *lightFleet) swap(t *testing.T, i int) {
+	d := f.daemons[i]
+	args := &exchange.Args{From: fmt.Sprint(i), Suspects: d.balancer.Suspects(), Failing: d.balancer.Failing(), Loads: d.balancer.Loads(),
 		Demand: d.balancer.Calls()}
 	var reply exchange.Reply
-	assert.NilError(t, f.hubOf(place).Swap(args, &reply))
+	assert.NilError(t, f.hubOf(i).Swap(args, &reply))
 	d.balancer.SetPeerReports(reply.Suspects, reply.Failing)
 	d.balancer.SetPeerCount(reply.Daemons)
 	d.balancer.SetPeerLoads(reply.Loads)
-	if f.tells {
+	if f.reportDemand {
 		d.balancer.SetPeerDemand(reply.Demand)
 	}
 }
 
 // hubOf returns the hub to which a daemon reports: in a small fleet there is only one.
-func (f *lightFleet) hubOf(place int) *exchange.Service {
+func (f *lightFleet) hubOf(i int) *exchange.Service {
 	if len(f.daemons) <= 150 {
 		return f.hubs[0]
 	}
-	return f.hubs[place%len(f.hubs)]
+	return f.hubs[i%len(f.hubs)]
 }
 
 // relay lets the hubs report their sums to one another.
@@ -161,9 +161,9 @@
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newLightFleet(daemons, true)
-				for place := range f.daemons {
-					f.swap(t, place)
-					f.swap(t, place)
+				for i := range f.daemons {
+					f.swap(t, i)
+					f.swap(t, i)
 				}
 				f.play(t, 10*time.Second)
 				share := float64(f.sharedReads) / float64(f.turns)
