--- a/internal/decide/policy/lease_test.go
+++ b/internal/decide/policy/lease_test.go
@@ -9,25 +9,25 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// TestHeldUntil: entries are held after outages in which they can lapse, from the store's own first word on.
-func TestHeldUntil(t *testing.T) {
-	lapse := policy.NewLeaseExpiry(1200 * time.Millisecond)
+// TestGraceUntil checks that missing entries have a grace period only after outages in which they can expire.
+func TestGraceUntil(t *testing.T) {
+	expiry := policy.NewLeaseExpiry(1200 * time.Millisecond)
 	now := time.Now()
 	for _, row := range []struct {
-		gap  time.Duration
-		held bool
+		gap   time.Duration
+		grace bool
 	}{
 		{500 * time.Millisecond, false},
 		{1800 * time.Millisecond, false}, // an idle watch
-		{2100 * time.Millisecond, false}, // an idle watch and a slow answer
-		{2200 * time.Millisecond, true},  // two heartbeats, roughly
+		{2100 * time.Millisecond, false}, // an idle watch and a slow response
+		{2200 * time.Millisecond, true},  // two heartbeats, less the jitter
 		{time.Hour, true},
 	} {
-		until := lapse.GraceUntil(now.Add(-row.gap), now)
-		assert.Equal(t, !until.IsZero(), row.held, "%v", row.gap)
-		if row.held {
+		until := expiry.GraceUntil(now.Add(-row.gap), now)
+		assert.Equal(t, !until.IsZero(), row.grace, "%v", row.gap)
+		if row.grace {
 			assert.Equal(t, until.Sub(now), 2200*time.Millisecond)
 		}
 	}
-	assert.Assert(t, !lapse.GraceUntil(time.Time{}, now).IsZero(), "nothing certain was ever known")
+	assert.Assert(t, !expiry.GraceUntil(time.Time{}, now).IsZero(), "no state was ever confirmed")
 }
--- a/internal/decide/policy/policy_test.go
+++ b/internal/decide/policy/policy_test.go
@@ -10,7 +10,7 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-func TestPlace(t *testing.T) {
+func TestChooseEngine(t *testing.T) {
 	for _, row := range []struct {
 		name    string
 		engines []policy.Engine
@@ -54,7 +54,7 @@
 	assert.Equal(t, served["heavy"], 30)
 }
 
-func TestQuietOrganisationIsNotDelayedByAFlood(t *testing.T) {
+func TestFloodDoesNotDelayOtherOrganisations(t *testing.T) {
 	var q policy.Queue
 	for range 1000 {
 		push(&q, "flood", 1, 9, 0, 10)
@@ -67,7 +67,7 @@
 	assert.Assert(t, first.Organisation == "quiet" || second.Organisation == "quiet")
 }
 
-func TestQueueInsideAnOrganisation(t *testing.T) {
+func TestOrderWithinOrganisation(t *testing.T) {
 	var q policy.Queue
 	long := push(&q, "o", 1, 0, 100_000, 1)
 	short := push(&q, "o", 1, 0, 10, 1)
@@ -78,7 +78,7 @@
 	assert.Assert(t, q.Pop() == nil)
 }
 
-func TestLongProgramIsServedInTheEnd(t *testing.T) {
+func TestLongProgramDoesNotStarve(t *testing.T) {
 	var q policy.Queue
 	long := push(&q, "o", 1, 0, 500_000, 1)
 	for i := range 5000 {
@@ -88,10 +88,10 @@
 			return
 		}
 	}
-	t.Error("a long program starves")
+	t.Error("a long program was not served")
 }
 
-// TestQueueProperty: whatever is pushed, popped and removed, each call leaves the queue once.
+// TestQueueProperty checks that each call leaves the queue once, whatever is pushed, popped and removed.
 func TestQueueProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var q policy.Queue
@@ -123,9 +123,8 @@
 	})
 }
 
-// BenchmarkPlace is the cost of placing a call on one of the servers of a model: 1,400 servers over 34 models
-// are 41 each.
-func BenchmarkPlace(b *testing.B) {
+// BenchmarkChooseEngine chooses one of the engines of a model; 1,400 engines over 34 models are 41 each.
+func BenchmarkChooseEngine(b *testing.B) {
 	for _, count := range []int{10, 41, 410} {
 		engines := make([]policy.Engine, count)
 		for i := range engines {
@@ -139,7 +138,7 @@
 	}
 }
 
-// BenchmarkQueue is the cost of one push and pop while many calls of many organisations wait.
+// BenchmarkQueue does one push and one pop while many calls of many organisations wait.
 func BenchmarkQueue(b *testing.B) {
 	for _, waiting := range []int{100, 1000, 10000} {
 		var q policy.Queue
--- a/internal/decide/quota/load_test.go
+++ b/internal/decide/quota/load_test.go
@@ -11,18 +11,18 @@
 	"github.com/rookpass/rookpass/internal/decide/quota"
 )
 
-// tolerance is that of the sheets so far.
+// tolerance applies to all tests of this package.
 var tolerance = quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20}
 
-// program is one agent program of the load: turns and calls one after the other.
+// program is one simulated agent program, which makes its requests one after the other.
 type program struct {
 	left, tries int
 	first       bool
-	// paused is what it takes by itself, held what its limit added.
+	// paused is the program's own duration, held the delay that its limit added.
 	paused, held time.Duration
 }
 
-// due is a program's next request.
+// due is the time of a program's next request.
 type due struct {
 	at      time.Time
 	program *program
@@ -40,26 +40,28 @@
 	return last
 }
 
-// course is how an organisation's programs fared.
-type course struct{ begun, whole, inTime, refused int }
+// course counts an organisation's programs by what became of them.
+type tally struct{ started, completed, inTime, refused int }
 
 const (
-	// requestPause is the mean time from one request of a program to the next, meanRequests how many a program makes.
+	// requestPause is the mean time from one request of a program to the next, meanRequests the mean number of its
+	// requests.
 	requestPause = 150 * time.Millisecond
 	meanRequests = 17
-	// mostTries is how often a caller asks for one request.
-	mostTries = 3
-	// slack is by what share a program may take longer than by itself and still be in time.
+	// maxTries is how often a caller tries one request.
+	maxTries = 3
+	// slack is by what fraction a program may exceed its own duration and still be in time.
 	slack = 0.8
 )
 
-// play lets an organisation whose limit is 1.6 times its usual load ask at times that load: programs are begun at random,
-// and each request is tried again when the bucket says so.
-func play(r *rand.Rand, usual, times float64, length time.Duration, first bool) course {
+// simulate lets an organisation with a limit of 1.6 times its usual load send the given multiple of that load:
+// programs start at random, and refused requests are retried when the bucket says so. first tells whether first
+// requests are marked as such.
+func simulate(r *rand.Rand, usual, times float64, length time.Duration, first bool) tally {
 	now := time.Unix(0, 0)
 	limit := quota.Limit{PerSecond: 1.6 * usual, Burst: 1.6 * usual}
 	b := quota.NewBucket(tolerance, limit, 1, now.Add(-time.Minute), now)
-	var c course
+	var c tally
 	var todo agenda
 	end := now.Add(length)
 	for at := now; at.Before(end); at = at.Add(time.Duration(r.ExpFloat64() * meanRequests / usual / times * float64(time.Second))) {
@@ -70,7 +72,7 @@
 		p := next.program
 		answer := b.Take(p.first && first, next.at)
 		if !answer.Granted {
-			if p.tries++; p.tries == mostTries {
+			if p.tries++; p.tries == maxTries {
 				c.refused++
 				continue
 			}
@@ -81,12 +83,12 @@
 			continue
 		}
 		if p.first {
-			c.begun++
+			c.started++
 		}
 		p.first, p.tries = false, 0
 		p.held += answer.Wait
 		if p.left--; p.left == 0 {
-			c.whole++
+			c.completed++
 			if float64(p.held) <= slack*float64(p.paused) {
 				c.inTime++
 			}
@@ -99,39 +101,37 @@
 	return c
 }
 
-// playMany adds up courses of twenty seeds.
-func playMany(usual, times float64, first bool) course {
-	var sum course
+// simulateSeeds sums the results of twenty seeds.
+func simulateSeeds(usual, times float64, first bool) tally {
+	var sum tally
 	for seed := range uint64(20) {
-		c := play(rand.New(rand.NewPCG(seed, 1)), usual, times, 8*time.Second, first)
-		sum.begun += c.begun
-		sum.whole += c.whole
+		c := simulate(rand.New(rand.NewPCG(seed, 1)), usual, times, 8*time.Second, first)
+		sum.started += c.started
+		sum.completed += c.completed
 		sum.inTime += c.inTime
 		sum.refused += c.refused
 	}
 	return sum
 }
 
-// TestUsualLoadIsNotRefused: an organisation that asks what it usually does, or half as much again, which is still below
-// its limit, is refused next to nothing, whatever its size.
+// TestUsualLoadIsNotRefused checks that an organisation at its usual load, whatever its size, has at most 2% of its
+// programs refused and 95% of the completed ones in time.
 func TestUsualLoadIsNotRefused(t *testing.T) {
 	for _, usual := range []float64{5, 20, 140} {
-		c := playMany(usual, 1, true)
-		assert.Assert(t, c.refused*50 <= c.begun+c.refused, "usual load of %v: %+v", usual, c)
-		assert.Assert(t, c.inTime*20 >= c.whole*19, "usual load of %v: %+v", usual, c)
+		c := simulateSeeds(usual, 1, true)
+		assert.Assert(t, c.refused*50 <= c.started+c.refused, "usual load of %v: %+v", usual, c)
+		assert.Assert(t, c.inTime*20 >= c.completed*19, "usual load of %v: %+v", usual, c)
 	}
 }
 
-// TestHotOrganisationEndsWhatItBegins: programs of an organisation at many times its limit that begin also end, most of
-// them in time. Of 20 seeds of 8 s, a usual load of 20 requests a second and 7.5 times that: 446 began, 446 ended, 424 in
-// time; where a program's first request is granted as any other, 1318 began, 852 ended, 68 in time. At 140 a second 3,004
-// and 414 in time, at 5 a second 68 and 26. At twice the load of 140 a second it costs 4 in 100: 2,522 in time, and 2,628.
-func TestHotOrganisationEndsWhatItBegins(t *testing.T) {
+// TestOverloadedOrganisationCompletesPrograms checks that an organisation far over its limit completes 90% of the
+// programs that it starts, and at least as many in time as without precedence for running programs.
+func TestOverloadedOrganisationCompletesPrograms(t *testing.T) {
 	for _, usual := range []float64{5, 20, 140} {
 		for _, times := range []float64{4, 7.5, 12} {
-			held, flat := playMany(usual, times, true), playMany(usual, times, false)
-			assert.Assert(t, held.whole*10 >= held.begun*9, "%v times %v: %+v", times, usual, held)
-			assert.Assert(t, held.inTime >= flat.inTime, "%v times %v: in time %d, and %d where all are alike", times, usual, held.inTime, flat.inTime)
+			withPrecedence, withoutPrecedence := simulateSeeds(usual, times, true), simulateSeeds(usual, times, false)
+			assert.Assert(t, withPrecedence.completed*10 >= withPrecedence.started*9, "%v times %v: %+v", times, usual, withPrecedence)
+			assert.Assert(t, withPrecedence.inTime >= withoutPrecedence.inTime, "%v times %v: %d in time, %d without precedence", times, usual, withPrecedence.inTime, withoutPrecedence.inTime)
 		}
 	}
 }
--- a/internal/front/balance/suspects.go
+++ b/internal/front/balance/suspects.go
@@ -7,10 +7,10 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// tooManyReported tells whether others suspect so many servers that the rest could not bear the load.
-func (b *Balancer) tooManyReported(servers []*catalog.Server) bool {
-	most := maxReportedShare * float64(len(servers))
-	if float64(len(b.reported)+len(b.failing)) <= most {
+// tooManySuspected reports whether other daemons suspect so many servers that the rest could not take the load.
+func (b *Balancer) tooManySuspected(servers []*catalog.Server) bool {
+	limit := maxSuspectShare * float64(len(servers))
+	if float64(len(b.peerSuspects)+len(b.peerFailing)) <= limit {
 		return false
 	}
 	n := 0
@@ -19,36 +19,36 @@
 			n++
 		}
 	}
-	return float64(n) > most
+	return float64(n) > limit
 }
 
-// suspected tells whether other daemons make a server look dead.
+// suspected reports whether a server seems dead by the reports of other daemons.
 func (b *Balancer) suspected(id incarnation.ID) bool {
-	return b.reported[id] > 0 || b.failing[id] >= failTogether
+	return b.peerSuspects[id] > 0 || b.peerFailing[id] >= failQuorum
 }
 
-// SetPeerReports tells how many other daemons suspect each server, and how many it failed last, just now.
+// SetPeerReports sets how many other daemons suspect each server, and for how many its last request failed recently.
 func (b *Balancer) SetPeerReports(reported, failing map[incarnation.ID]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.reported, b.failing = reported, failing
+	b.peerSuspects, b.peerFailing = reported, failing
 }
 
-// Failing returns the servers that failed this daemon last, within failingTime.
+// Failing returns the servers whose last response to this daemon was a failure, within failingWindow.
 func (b *Balancer) Failing() []incarnation.ID {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	var failing []incarnation.ID
 	for id, s := range b.states {
-		if !s.failedAt.IsZero() && now.Sub(s.failedAt) < failingTime {
+		if !s.failedAt.IsZero() && now.Sub(s.failedAt) < failingWindow {
 			failing = append(failing, id)
 		}
 	}
 	return failing
 }
 
-// Suspects returns the servers that look dead here: those that failed repeatedly or keep requests waiting. It
+// Suspects returns the servers that seem dead to this daemon: those that failed repeatedly or are unresponsive. It
 // returns none where they are so many that this VM's own network is the likelier cause.
 func (b *Balancer) Suspects() []incarnation.ID {
 	b.mu.Lock()
@@ -56,34 +56,35 @@
 	now := time.Now()
 	var suspects []incarnation.ID
 	for id, s := range b.states {
-		if now.Before(s.ejectedUntil) || b.silent(s.waitingRoute, s, now) {
+		if now.Before(s.ejectedUntil) || b.unresponsive(s.awaitingRoute, s, now) {
 			suspects = append(suspects, id)
 		}
 	}
-	if float64(len(suspects)) > maxReportedShare*float64(len(b.states)) {
+	if float64(len(suspects)) > maxSuspectShare*float64(len(b.states)) {
 		return nil
 	}
 	return suspects
 }
 
-// View is what is known of one server.
+// View is the state of one server, for operators.
 type View struct {
 	InFlight int `json:"in_flight"`
-	// LatencyRatio is the mean time of its answers against that of like calls at all servers.
+	// LatencyRatio is the mean ratio of its response times to those of like calls on all servers.
 	LatencyRatio float64 `json:"pace"`
-	// Ejected servers failed repeatedly; Reported is how many other daemons suspect it, Failing how many it failed last.
+	// Ejected is set after repeated failures; Reported is how many other daemons suspect the server, Failing for how
+	// many its last request failed.
 	Ejected  bool `json:"ejected"`
 	Reported int  `json:"reported"`
 	Failing  int  `json:"failing"`
 }
 
-// View returns what is known of a server.
+// View returns the state of a server.
 func (b *Balancer) View(id incarnation.ID) View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	view := View{Reported: b.reported[id], Failing: b.failing[id]}
+	view := View{Reported: b.peerSuspects[id], Failing: b.peerFailing[id]}
 	if s := b.states[id]; s != nil {
-		view.InFlight, view.LatencyRatio, view.Ejected = s.inFlight, s.pace.Ratio(), time.Now().Before(s.ejectedUntil)
+		view.InFlight, view.LatencyRatio, view.Ejected = s.inFlight, s.latency.Ratio(), time.Now().Before(s.ejectedUntil)
 	}
 	return view
 }
