--- a/internal/objects/feed/feed_test.go
+++ b/internal/objects/feed/feed_test.go
@@ -69,8 +69,8 @@
 }
 
 func TestMirrorsArePreferredToTheStore(t *testing.T) {
-	direct, a, b := &fakeSource{version: 9}, &fakeSource{version: 5}, &fakeSource{version: 6}
-	f := newFeed(direct, a, b)
+	store, a, b := &fakeSource{version: 9}, &fakeSource{version: 5}, &fakeSource{version: 6}
+	f := newFeed(store, a, b)
 	snapshot, err := f.List(context.Background(), "k/")
 	assert.NilError(t, err)
 	assert.Equal(t, snapshot.Version, uint64(5))
@@ -87,15 +87,15 @@
 	batch, err = f.Wait(context.Background(), []string{"k/"}, 6, time.Second)
 	assert.NilError(t, err)
 	assert.Equal(t, batch.Version, uint64(9))
-	direct.err = objectapi.ErrUnavailable
+	store.err = objectapi.ErrUnavailable
 	_, err = f.Wait(context.Background(), []string{"k/"}, 6, time.Second)
 	assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 }
 
 // TestListsNeverGoBack checks that a mirror that is behind an earlier result is skipped.
 func TestListsNeverGoBack(t *testing.T) {
-	direct, a := &fakeSource{version: 9}, &fakeSource{version: 8}
-	f := newFeed(direct, a)
+	store, a := &fakeSource{version: 9}, &fakeSource{version: 8}
+	f := newFeed(store, a)
 	a.err = objectapi.ErrUnavailable
 	_, err := f.List(context.Background(), "k/")
 	assert.NilError(t, err)
@@ -108,17 +108,17 @@
 }
 
 func TestErrGoneIsAnAnswer(t *testing.T) {
-	direct, a := &fakeSource{version: 9}, &fakeSource{err: objectapi.ErrGone}
-	_, err := newFeed(direct, a).Wait(context.Background(), []string{"k/"}, 1, time.Second)
+	store, a := &fakeSource{version: 9}, &fakeSource{err: objectapi.ErrGone}
+	_, err := newFeed(store, a).Wait(context.Background(), []string{"k/"}, 1, time.Second)
 	assert.Assert(t, errors.Is(err, objectapi.ErrGone))
-	assert.Equal(t, direct.asked, 0)
+	assert.Equal(t, store.asked, 0)
 }
 
 // TestStaleContentServesTheFirstListOnly checks that a reader that has just started gets stale content in an outage of
 // the store, and later lists fail.
 func TestStaleContentServesTheFirstListOnly(t *testing.T) {
-	direct, a, b := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: objectapi.ErrUnavailable, old: 4}, &fakeSource{err: objectapi.ErrUnavailable, old: 6}
-	f := newFeed(direct, a, b)
+	store, a, b := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: objectapi.ErrUnavailable, old: 4}, &fakeSource{err: objectapi.ErrUnavailable, old: 6}
+	f := newFeed(store, a, b)
 	snapshot, err := f.List(context.Background(), "k/")
 	assert.NilError(t, err)
 	assert.Equal(t, snapshot.Version, uint64(6))
@@ -130,14 +130,14 @@
 // TestFailedStoreIsRetriedRarely checks that readers rarely ask a failed store while a mirror answers for it.
 func TestFailedStoreIsRetriedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: objectapi.ErrUnavailable}
-		f := newFeed(direct, a)
+		store, a := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: objectapi.ErrUnavailable}
+		f := newFeed(store, a)
 		for range 60 {
 			_, err := f.List(context.Background(), "k/")
 			assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Equal(t, direct.asked, 2)
+		assert.Equal(t, store.asked, 2)
 		assert.Equal(t, a.asked, 60)
 	})
 }
@@ -145,9 +145,9 @@
 // TestSilentSourceDoesNotDelayLists checks that the next source is asked after hedgeDelay.
 func TestSilentSourceDoesNotDelayLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a, b := &fakeSource{version: 9}, &fakeSource{silent: true}, &fakeSource{silent: true}
+		store, a, b := &fakeSource{version: 9}, &fakeSource{silent: true}, &fakeSource{silent: true}
 		began := time.Now()
-		snapshot, err := newFeed(direct, a, b).List(context.Background(), "k/")
+		snapshot, err := newFeed(store, a, b).List(context.Background(), "k/")
 		assert.NilError(t, err)
 		assert.Equal(t, snapshot.Version, uint64(9))
 		assert.Equal(t, time.Since(began), 60*time.Millisecond)
@@ -158,8 +158,8 @@
 // others fail together.
 func TestFailedMirrorsCostOnePollTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a, b, c, d := &fakeSource{version: 9}, &fakeSource{version: 5}, &fakeSource{version: 5}, &fakeSource{version: 5}, &fakeSource{version: 5}
-		f := newFeed(direct, a, b, c, d)
+		store, a, b, c, d := &fakeSource{version: 9}, &fakeSource{version: 5}, &fakeSource{version: 5}, &fakeSource{version: 5}, &fakeSource{version: 5}
+		f := newFeed(store, a, b, c, d)
 		_, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
 		a.silent, b.silent, c.silent, d.version = true, true, true, 6
@@ -168,7 +168,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, batch.Version, uint64(6))
 		assert.Equal(t, time.Since(began), 1560*time.Millisecond)
-		assert.Equal(t, direct.asked, 0)
+		assert.Equal(t, store.asked, 0)
 	})
 }
 
@@ -211,11 +211,11 @@
 // which is the current source, is silent.
 func TestMirrorsArePolledBesideASilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &fakeSource{version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
-		f := newFeed(direct, a)
+		store, a := &fakeSource{version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
+		f := newFeed(store, a)
 		_, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
-		direct.silent, a.err, a.version = true, nil, 7
+		store.silent, a.err, a.version = true, nil, 7
 		began := time.Now()
 		batch, err := f.Wait(context.Background(), []string{"k/"}, 5, 0)
 		assert.NilError(t, err)
@@ -227,15 +227,15 @@
 // TestStoreIsRetriedSoonWithoutMirrors checks that the store's recovery is noticed soon if no mirror is reachable.
 func TestStoreIsRetriedSoonWithoutMirrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: fmt.Errorf("%w: %w", objectapi.ErrUnavailable, peerlink.ErrUnreachable)}
-		f := newFeed(direct, a)
+		store, a := &fakeSource{err: objectapi.ErrUnavailable}, &fakeSource{err: fmt.Errorf("%w: %w", objectapi.ErrUnavailable, peerlink.ErrUnreachable)}
+		f := newFeed(store, a)
 		for range 60 {
 			_, err := f.Wait(context.Background(), []string{"k/"}, 5, 0)
 			assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Equal(t, direct.asked, 12)
-		direct.err, direct.version = nil, 7
+		assert.Equal(t, store.asked, 12)
+		store.err, store.version = nil, 7
 		returned := time.Now()
 		for {
 			if _, err := f.Wait(context.Background(), []string{"k/"}, 5, 0); err == nil {
@@ -250,16 +250,16 @@
 // TestCancelledPollIsNoFailure checks that a poll cancelled by its caller does not cause a pause of the store.
 func TestCancelledPollIsNoFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &fakeSource{version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
-		f := newFeed(direct, a)
+		store, a := &fakeSource{version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
+		f := newFeed(store, a)
 		_, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
-		direct.silent = true
+		store.silent = true
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
 		_, err = f.Wait(ctx, []string{"k/"}, 5, time.Second)
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable)
-		direct.silent = false
+		store.silent = false
 		_, err = f.Wait(context.Background(), []string{"k/"}, 5, 0)
 		assert.NilError(t, err)
 	})
@@ -268,13 +268,13 @@
 // TestCancelledListIsNoFailure checks the same for a first list.
 func TestCancelledListIsNoFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &fakeSource{silent: true, version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
-		f := newFeed(direct, a)
+		store, a := &fakeSource{silent: true, version: 5}, &fakeSource{err: objectapi.ErrUnavailable}
+		f := newFeed(store, a)
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
 		_, err := f.List(ctx, "k/")
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable)
-		direct.silent = false
+		store.silent = false
 		snapshot, err := f.List(context.Background(), "k/")
 		assert.NilError(t, err)
 		assert.Equal(t, snapshot.Version, uint64(5))
@@ -283,12 +283,12 @@
 
 // TestMirrorsAreSampledInAnOutage checks that each round asks a few mirrors, and the rounds together all of them.
 func TestMirrorsAreSampledInAnOutage(t *testing.T) {
-	direct := &fakeSource{err: objectapi.ErrUnavailable}
+	store := &fakeSource{err: objectapi.ErrUnavailable}
 	var mirrors []*fakeSource
 	for range 30 {
 		mirrors = append(mirrors, &fakeSource{err: objectapi.ErrUnavailable})
 	}
-	f := newFeed(direct, mirrors...)
+	f := newFeed(store, mirrors...)
 	asked := func() (sum int) {
 		for _, m := range mirrors {
 			sum += m.asked
@@ -316,8 +316,8 @@
 // mirrors report an outage.
 func TestSilentStoreDoesNotDelayStaleContent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct, a := &fakeSource{silent: true}, &fakeSource{err: objectapi.ErrUnavailable, old: 4}
-		f := newFeed(direct, a)
+		store, a := &fakeSource{silent: true}, &fakeSource{err: objectapi.ErrUnavailable, old: 4}
+		f := newFeed(store, a)
 		began := time.Now()
 		for _, prefix := range []string{"layout/", "config/", "servers/"} {
 			ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
@@ -334,28 +334,28 @@
 // mirrors are silent.
 func TestStoreIsRetriedBesideSilentMirrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct := &fakeSource{err: objectapi.ErrUnavailable, version: 7}
-		f := newFeed(direct, &fakeSource{silent: true}, &fakeSource{silent: true}, &fakeSource{silent: true})
+		store := &fakeSource{err: objectapi.ErrUnavailable, version: 7}
+		f := newFeed(store, &fakeSource{silent: true}, &fakeSource{silent: true}, &fakeSource{silent: true})
 		began := time.Now()
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			direct.err = nil
+			store.err = nil
 		}()
 		snapshot, err := f.List(t.Context(), "k/")
 		assert.NilError(t, err)
 		assert.Equal(t, snapshot.Version, uint64(7))
 		assert.Assert(t, time.Since(began) <= 250*time.Millisecond, "%v", time.Since(began))
-		assert.Assert(t, direct.asked <= 4, "%d calls", direct.asked)
+		assert.Assert(t, store.asked <= 4, "%d calls", store.asked)
 	})
 }
 
 // TestFirstListWithoutMirrorsAsksOnce checks that List does not retry by itself without mirrors; the caller does.
 func TestFirstListWithoutMirrorsAsksOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		direct := &fakeSource{err: objectapi.ErrUnavailable}
-		_, err := newFeed(direct).List(t.Context(), "k/")
+		store := &fakeSource{err: objectapi.ErrUnavailable}
+		_, err := newFeed(store).List(t.Context(), "k/")
 		assert.ErrorIs(t, err, objectapi.ErrUnavailable)
-		assert.Equal(t, direct.asked, 1)
+		assert.Equal(t, store.asked, 1)
 	})
 }
 
@@ -366,13 +366,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		asked := func(readers, mirrors int) (calls int) {
 			var feeds []*feed.FailoverSource
-			direct := &fakeSource{err: objectapi.ErrUnavailable}
+			store := &fakeSource{err: objectapi.ErrUnavailable}
 			var lost []*fakeSource
 			for range mirrors {
 				lost = append(lost, &fakeSource{version: 5})
 			}
 			for range readers {
-				feeds = append(feeds, newFeed(direct, lost...))
+				feeds = append(feeds, newFeed(store, lost...))
 			}
 			round := func() {
 				for _, f := range feeds {
@@ -387,7 +387,7 @@
 				round()
 				time.Sleep(200 * time.Millisecond)
 			}
-			return direct.asked
+			return store.asked
 		}
 		most := 0
 		for range 10 {
@@ -403,12 +403,12 @@
 func TestUnsyncedMirrorsReportNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for range 20 {
-			direct := &fakeSource{version: 9}
+			store := &fakeSource{version: 9}
 			mirrors := make([]*fakeSource, 9)
 			for i := range mirrors {
 				mirrors[i] = &fakeSource{err: objectapi.ErrNotSynced}
 			}
-			f := newFeed(direct, mirrors...)
+			f := newFeed(store, mirrors...)
 			began := time.Now()
 			snapshot, err := f.List(t.Context(), "k/")
 			assert.NilError(t, err)
@@ -425,8 +425,8 @@
 		for range 119 {
 			mirrors = append(mirrors, &fakeSource{silent: true, version: 5})
 		}
-		direct := &fakeSource{}
-		f := newFeed(direct, mirrors...)
+		store := &fakeSource{}
+		f := newFeed(store, mirrors...)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		_, err := f.List(ctx, "k/")
@@ -436,7 +436,7 @@
 			asked += min(1, m.asked)
 		}
 		assert.Assert(t, asked > 6 && asked <= 12, "%d mirrors were asked", asked)
-		assert.Equal(t, direct.asked, 0, "slow mirrors must not cause requests to the store")
+		assert.Equal(t, store.asked, 0, "slow mirrors must not cause requests to the store")
 	})
 }
 
@@ -448,12 +448,12 @@
 		for i := range 36 {
 			mirrors = append(mirrors, &fakeSource{silent: i < 8, version: 5})
 		}
-		direct := &fakeSource{version: 9}
+		store := &fakeSource{version: 9}
 		began := time.Now()
-		snapshot, err := newFeed(direct, mirrors...).List(context.Background(), "k/")
+		snapshot, err := newFeed(store, mirrors...).List(context.Background(), "k/")
 		assert.NilError(t, err)
 		assert.Equal(t, snapshot.Version, uint64(5))
 		assert.Assert(t, time.Since(began) <= 500*time.Millisecond, "%v", time.Since(began))
-		assert.Equal(t, direct.asked, 0)
+		assert.Equal(t, store.asked, 0)
 	})
 }
--- a/internal/transport/httpclient/httpclient.go
+++ b/internal/transport/httpclient/httpclient.go
@@ -31,7 +31,7 @@
 	// ErrNoResponse means that the request may have been received, but no complete response arrived.
 	ErrNoResponse = errors.New("no response")
 	// ErrTooLarge means that the body of the response exceeds the limit.
-	ErrTooLarge = errors.New("answer is too large")
+	ErrTooLarge = errors.New("response is too large")
 )
 
 // DialFunc connects to an IP:port address.
@@ -185,12 +185,12 @@
 
 // sendOnce sends a request over a connection of its own, which is closed with the response. Nothing is sent if ctx ends
 // during the dial: a VM that was frozen then must not run a cancelled call after later calls of the same program.
-func (c *Client) sendOnce(ctx context.Context, own *singleUseConn, req *fasthttp.Request, resp *fasthttp.Response) error {
+func (c *Client) sendOnce(ctx context.Context, singleUse *singleUseConn, req *fasthttp.Request, resp *fasthttp.Response) error {
 	conn, err := c.dial(c.addr)
 	if err != nil {
 		return err
 	}
-	own.conn = conn
+	singleUse.conn = conn
 	if ctx.Err() != nil {
 		return &dialError{err: context.Cause(ctx)}
 	}
--- a/internal/transport/tunnel/tunnel.go
+++ b/internal/transport/tunnel/tunnel.go
@@ -55,16 +55,16 @@
 
 // Dial connects to an address through one of the relays, chosen at random.
 func (d *Dialer) Dial(ctx context.Context, kind, address string) (net.Conn, error) {
-	helpers := *d.relays.Load()
+	relays := *d.relays.Load()
 	problems := []error{Error.New("no daemon relays a connection to %s", address)}
-	for attempt, i := range rand.Perm(len(helpers)) {
+	for attempt, i := range rand.Perm(len(relays)) {
 		if attempt == maxAttempts || ctx.Err() != nil {
 			break
 		}
-		if helpers[i] == d.self {
+		if relays[i] == d.self {
 			continue
 		}
-		conn, err := d.dial(ctx, kind, helpers[i])
+		conn, err := d.dial(ctx, kind, relays[i])
 		if err != nil {
 			problems = append(problems, err)
 			continue
--- a/internal/transport/upstream/idle_test.go
+++ b/internal/transport/upstream/idle_test.go
@@ -32,19 +32,19 @@
 		}()
 		return ours, nil
 	}
-	for rest, want := range map[time.Duration]struct{ once, twice bool }{
+	for rest, want := range map[time.Duration]struct{ atMostOnce, idempotent bool }{
 		3200 * time.Millisecond: {true, true},
 		3400 * time.Millisecond: {false, true},
 		3800 * time.Millisecond: {false, false},
 	} {
-		for _, repeatable := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%v/%t", rest, repeatable), func(t *testing.T) {
+		for _, idempotent := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%v/%t", rest, idempotent), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					p := upstream.NewPool(dial, headerCodec{}, 100)
 					to := upstream.Endpoint{Address: "server"}
 					send := func() {
 						r := request("1")
-						r.Idempotent = repeatable
+						r.Idempotent = idempotent
 						a, failure := p.Do(context.Background(), to, 0, r)
 						assert.Assert(t, failure == nil, "%v", failure)
 						_, err := io.ReadAll(a.Body)
@@ -53,11 +53,11 @@
 					}
 					send()
 					time.Sleep(rest)
-					reused := want.once
-					if repeatable {
-						reused = want.twice
+					reused := want.atMostOnce
+					if idempotent {
+						reused = want.idempotent
 					}
-					assert.Equal(t, p.HasIdle(to, repeatable), reused)
+					assert.Equal(t, p.HasIdle(to, idempotent), reused)
 					send()
 					assert.Equal(t, p.Reused() == 1, reused)
 					p.CloseIdle(func(upstream.Endpoint) bool { return false })
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -86,8 +86,8 @@
 		return nil, failure
 	}
 	closeResponse := response.close
-	response.close = func(whole bool) {
-		closeResponse(whole)
+	response.close = func(complete bool) {
+		closeResponse(complete)
 		if response.conn == nil {
 			p.countClosed(to)
 			return
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -164,9 +164,9 @@
 	response.Body = &eofTracker{response: response}
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	keep := framed && !resp.Close && writeDone && writeErr == nil
-	response.close = func(whole bool) {
+	response.close = func(complete bool) {
 		ended := stop()
-		if !whole || !keep || !ended || c.reader.Buffered() > 0 {
+		if !complete || !keep || !ended || c.reader.Buffered() > 0 {
 			_ = c.Close()
 			response.conn = nil
 		}
