--- a/internal/objects/feed/feed.go
+++ b/internal/objects/feed/feed.go
@@ -41,11 +41,12 @@
 // defaultMirrorPollTimeout limits one long poll at a mirror and so how late a dead mirror is noticed.
 const defaultMirrorPollTimeout = time.Second
 
-// hedgeDelay is how long a source may be silent before the next one is asked as well. Mirrors answer within milliseconds.
+// hedgeDelay is how long a source may be silent before the next one is asked as well. Mirrors answer within
+// milliseconds.
 const hedgeDelay = 30 * time.Millisecond
 
-// storeListTimeout limits a first list from the store while mirrors report an outage of it. It exceeds the response time
-// of a slow store, 0.4 s.
+// storeListTimeout limits a first list from the store while mirrors report an outage of it. It exceeds the response
+// time of a slow store, 0.4 s.
 const storeListTimeout = 500 * time.Millisecond
 
 // FailoverSource implements watch.Source over mirrors and the store. It stays with a source while that one answers, and
--- a/internal/objects/feed/feed_test.go
+++ b/internal/objects/feed/feed_test.go
@@ -359,9 +359,9 @@
 	})
 }
 
-// TestManyReadersSpareTheStoreInAnOutage checks that 259 readers of 36 mirrors together send at most one request each to
-// the store during an outage of 8 s. With few mirrors every reader asks at once, since the store may refuse the mirrors
-// and serve the reader.
+// TestManyReadersSpareTheStoreInAnOutage checks that 259 readers of 36 mirrors together send at most one request each
+// to the store during an outage of 8 s. With few mirrors every reader asks at once, since the store may refuse the
+// mirrors and serve the reader.
 func TestManyReadersSpareTheStoreInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := func(readers, mirrors int) (calls int) {
@@ -440,8 +440,8 @@
 	})
 }
 
-// TestFailedDataCentreDoesNotDelayLists checks that lists succeed soon if the preferred mirrors, all of one data centre,
-// are silent.
+// TestFailedDataCentreDoesNotDelayLists checks that lists succeed soon if the preferred mirrors, all of one data
+// centre, are silent.
 func TestFailedDataCentreDoesNotDelayLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mirrors []*fakeSource
--- a/internal/objects/feed/sources.go
+++ b/internal/objects/feed/sources.go
@@ -12,8 +12,8 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// Pauses between requests to a failed store. While mirrors answer that they have lost the store too, they will report its
-// recovery; while none answers, only the store itself can.
+// Pauses between requests to a failed store. While mirrors answer that they have lost the store too, they will report
+// its recovery; while none answers, only the store itself can.
 const (
 	storeRetryPause      = 3 * time.Second
 	storeRetryPauseAlone = 500 * time.Millisecond
@@ -22,8 +22,8 @@
 	firstListRetryPause = 50 * time.Millisecond
 )
 
-// manyMirrors is the number of mirrors from which on their reports of an outage are relied upon. Readers then delay their
-// own request to the store, in proportion to the number of mirrors, since each request is charged.
+// manyMirrors is the number of mirrors from which on their reports of an outage are relied upon. Readers then delay
+// their own request to the store, in proportion to the number of mirrors, since each request is charged.
 const manyMirrors = 8
 
 // mirrorsPerRound limits the mirrors that a reader asks within hedgeDelay of one another, which bounds the connections
@@ -34,7 +34,8 @@
 	extraMirrorTicks = 8
 )
 
-// outageSample is the number of mirrors asked in each round while none can answer; the rounds rotate through all mirrors.
+// outageSample is the number of mirrors asked in each round while none can answer; the rounds rotate through all
+// mirrors.
 const outageSample = 3
 
 // source is a mirror or the store.
@@ -95,9 +96,9 @@
 	return !s.isStore || f.storeIsDue()
 }
 
-// tooSoon reports whether the next source has to wait for more ticks of silence, given the number of sources asked and of
-// ticks passed. The store waits for as many ticks as there are mirrors, so that slow mirrors alone don't cause requests
-// to it.
+// tooSoon reports whether the next source has to wait for more ticks of silence, given the number of sources asked and
+// of ticks passed. The store waits for as many ticks as there are mirrors, so that slow mirrors alone don't cause
+// requests to it.
 func (f *FailoverSource) tooSoon(s source, asked, ticks int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,8 +143,8 @@
 	return true
 }
 
-// recordMirrorOutage records that a mirror can't read the store. With many mirrors, the first report delays this reader's
-// own request to the store by a random time. The caller holds mu.
+// recordMirrorOutage records that a mirror can't read the store. With many mirrors, the first report delays this
+// reader's own request to the store by a random time. The caller holds mu.
 func (f *FailoverSource) recordMirrorOutage(now time.Time) {
 	first := now.Sub(f.mirrorOutageAt) >= storeRetryPause
 	f.mirrorOutageAt = now
--- a/internal/objects/mirror/encode.go
+++ b/internal/objects/mirror/encode.go
@@ -18,8 +18,8 @@
 	data    []byte
 }
 
-// EncodedSnapshot returns the last known copy, gob-encoded and compressed, or nil if there is none. The result is cached
-// per version and must not be modified.
+// EncodedSnapshot returns the last known copy, gob-encoded and compressed, or nil if there is none. The result is
+// cached per version and must not be modified.
 func (m *Mirror) EncodedSnapshot() ([]byte, error) {
 	m.encodeMu.Lock() // not mu, so that watches continue meanwhile
 	defer m.encodeMu.Unlock()
--- a/internal/objects/mirror/mirror.go
+++ b/internal/objects/mirror/mirror.go
@@ -39,15 +39,15 @@
 	encoded  encodedSnapshot
 }
 
-// versionedEvent is an event with the version at which readers have seen it. Deletions carry no version of their own, so
-// it is the version of their batch; 0 until the batch is confirmed.
+// versionedEvent is an event with the version at which readers have seen it. Deletions carry no version of their own,
+// so it is the version of their batch; 0 until the batch is confirmed.
 type versionedEvent struct {
 	event   objectapi.Event
 	version uint64
 }
 
-// New returns an empty mirror of a prefix. It serves its copy only within maxAge of the API's last confirmation, so that
-// a silent connection or a paused daemon does not pass for up to date.
+// New returns an empty mirror of a prefix. It serves its copy only within maxAge of the API's last confirmation, so
+// that a silent connection or a paused daemon does not pass for up to date.
 func New(prefix string, maxAge time.Duration) *Mirror {
 	return &Mirror{prefix: prefix, maxAge: maxAge, objects: map[string]objectapi.Object{}, changed: make(chan struct{})}
 }
--- a/internal/objects/mirror/mirror_test.go
+++ b/internal/objects/mirror/mirror_test.go
@@ -42,7 +42,8 @@
 	assert.ErrorIs(t, err, objectapi.ErrUnavailable)
 }
 
-// TestAgedCopyIsRefused checks that a copy that is no longer confirmed is refused although no call to the API has failed.
+// TestAgedCopyIsRefused checks that a copy that is no longer confirmed is refused although no call to the API has
+// failed.
 func TestAgedCopyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := mirror.New("k/", 2*time.Second)
@@ -212,8 +213,8 @@
 	assert.ErrorContains(t, err, "mirror")
 }
 
-// TestWatermarkOverAHop checks that a watermark is never overstated by the delay of a reply, nor understated by the time
-// for which the call was held.
+// TestWatermarkOverAHop checks that a watermark is never overstated by the delay of a reply, nor understated by the
+// time for which the call was held.
 func TestWatermarkOverAHop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
--- a/internal/objects/mirror/rpc.go
+++ b/internal/objects/mirror/rpc.go
@@ -145,8 +145,8 @@
 	return snapshot, err
 }
 
-// watermarkAt converts the age of a watermark in a reply to a time of this process; zero if the age is unknown. The reply
-// was made after sent, so subtracting from sent never overstates the watermark.
+// watermarkAt converts the age of a watermark in a reply to a time of this process; zero if the age is unknown. The
+// reply was made after sent, so subtracting from sent never overstates the watermark.
 func watermarkAt(sent time.Time, age time.Duration) time.Time {
 	if age < 0 {
 		return time.Time{}
--- a/internal/objects/watch/watch.go
+++ b/internal/objects/watch/watch.go
@@ -259,10 +259,10 @@
 	return nil
 }
 
-// missedOutage reports whether an outage that ended sinceOutage ago ended after the last confirmation, which is age old,
-// and so went unnoticed here. That happens to a watcher that reads through a mirror with old content and then through
-// another one that reconnected first. Handlers must learn of it, since leases expire during an outage although their
-// owners live.
+// missedOutage reports whether an outage that ended sinceOutage ago ended after the last confirmation, which is age
+// old, and so went unnoticed here. That happens to a watcher that reads through a mirror with old content and then
+// through another one that reconnected first. Handlers must learn of it, since leases expire during an outage although
+// their owners live.
 func missedOutage(sinceOutage, age time.Duration) bool {
 	return sinceOutage > 0 && age > sinceOutage+outageMargin
 }
--- a/internal/transport/httpclient/httpclient.go
+++ b/internal/transport/httpclient/httpclient.go
@@ -46,8 +46,8 @@
 func (e *dialError) Error() string { return "connecting: " + e.err.Error() }
 func (e *dialError) Unwrap() error { return e.err }
 
-// idleConn closes itself when nothing has been read or written for limit, which detects a hung server in the middle of a
-// stream too.
+// idleConn closes itself when nothing has been read or written for limit, which detects a hung server in the middle of
+// a stream too.
 type idleConn struct {
 	net.Conn
 	timer *time.Timer
--- a/internal/transport/network/memnet/memnet.go
+++ b/internal/transport/network/memnet/memnet.go
@@ -1,4 +1,5 @@
-// Package memnet implements an in-memory network for tests in virtual time. Hosts can be partitioned, frozen and killed.
+// Package memnet implements an in-memory network for tests in virtual time. Hosts can be partitioned, frozen and
+// killed.
 package memnet
 
 import (
@@ -46,6 +47,7 @@
 	fabric  *Fabric
 }
 
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/transport/network/network.go
+++ b/internal/transport/network/network.go
@@ -24,6 +24,7 @@
 	DialServer(address string) (net.Conn, error)
 }
 
+// serverDialTimeout limits dials to backend servers and the object API.
 const serverDialTimeout = 2 * time.Second
 
 // TCP implements Network over TCP.
--- a/internal/transport/peerlink/peerlink.go
+++ b/internal/transport/peerlink/peerlink.go
@@ -1,5 +1,5 @@
-// Package peerlink keeps net/rpc connections to other daemons and applies a timeout to each call. If the direct path to a
-// daemon fails or is slow, calls use a fallback path, if there is one.
+// Package peerlink keeps net/rpc connections to other daemons and applies a timeout to each call. If the direct path to
+// a daemon fails or is slow, calls use a fallback path, if there is one.
 package peerlink
 
 import (
--- a/internal/transport/peerlink/peerlink_test.go
+++ b/internal/transport/peerlink/peerlink_test.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// TestFallbackWhenDirectPathIsSilent checks that a call is sent over the fallback path too, that later ones use it first,
-// and that the direct path is tried again later.
+// TestFallbackWhenDirectPathIsSilent checks that a call is sent over the fallback path too, that later ones use it
+// first, and that the direct path is tried again later.
 func TestFallbackWhenDirectPathIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fabric := memnet.New()
--- a/internal/transport/upstream/idle_test.go
+++ b/internal/transport/upstream/idle_test.go
@@ -27,7 +27,7 @@
 				if err != nil {
 					return
 				}
-				_, _ = io.WriteString(theirs, answer(id, "body"))
+				_, _ = io.WriteString(theirs, rawResponse(id, "body"))
 			}
 		}()
 		return ours, nil
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -175,8 +175,8 @@
 	return h
 }
 
-// popIdle removes and returns the most recently used idle connection. It returns nil if there is none, or if it has been
-// idle too long for an at-most-once request.
+// popIdle removes and returns the most recently used idle connection. It returns nil if there is none, or if it has
+// been idle too long for an at-most-once request.
 func (p *Pool) popIdle(to Endpoint, idempotent bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -235,8 +235,8 @@
 	return err
 }
 
-// appendHead appends the request line and headers. Header names and values come from a parsed request, so they contain no
-// line breaks.
+// appendHead appends the request line and headers. Header names and values come from a parsed request, so they contain
+// no line breaks.
 func appendHead(b []byte, r *Request) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -58,7 +58,7 @@
 	return req.Header.Get("Id"), string(body), err
 }
 
-func answer(id, body string) string {
+func rawResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -71,8 +71,8 @@
 		Body: [][]byte{[]byte("a"), []byte("b")}, ID: id}
 }
 
-// ask sends a request and returns the response's body or the failure.
-func ask(ctx context.Context, p *upstream.Pool, address, id string) (string, *upstream.Failure) {
+// send sends a request and returns the response's body or the failure.
+func send(ctx context.Context, p *upstream.Pool, address, id string) (string, *upstream.Failure) {
 	a, failure := p.Do(ctx, upstream.Endpoint{Address: address}, 0, request(id))
 	if failure != nil {
 		return "", failure
@@ -98,12 +98,12 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(conn, answer(id, id+body))
+			_, _ = io.WriteString(conn, rawResponse(id, id+body))
 		}
 	})
 	p := newPool()
 	for i := range 5 {
-		body, failure := ask(background(t), p, address, fmt.Sprint(i))
+		body, failure := send(background(t), p, address, fmt.Sprint(i))
 		assert.Assert(t, failure == nil, "%v", failure)
 		assert.Equal(t, body, fmt.Sprint(i)+"ab")
 	}
@@ -113,10 +113,12 @@
 
 // malformedResponses must all end in a failure.
 var malformedResponses = map[string]func(conn net.Conn, id string){
-	"cut short":          func(c net.Conn, id string) { _, _ = io.WriteString(c, strings.TrimSuffix(answer(id, "whole"), "ole")) },
+	"cut short": func(c net.Conn, id string) {
+		_, _ = io.WriteString(c, strings.TrimSuffix(rawResponse(id, "whole"), "ole"))
+	},
 	"no answer":          func(net.Conn, string) {},
 	"bytes, no protocol": func(c net.Conn, _ string) { _, _ = io.WriteString(c, "\x00\x01garbage\r\n\r\n") },
-	"no request id":      func(c net.Conn, _ string) { _, _ = io.WriteString(c, answer("", "whole")) },
+	"no request id":      func(c net.Conn, _ string) { _, _ = io.WriteString(c, rawResponse("", "whole")) },
 	"chunk cut off": func(c net.Conn, id string) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n", id)
 	},
@@ -135,7 +137,7 @@
 					fault(conn, id)
 				}
 			})
-			_, failure := ask(background(t), newPool(), address, "1")
+			_, failure := send(background(t), newPool(), address, "1")
 			assert.Assert(t, failure != nil)
 			assert.Equal(t, failure.Verdict, verdict.MayHaveRun)
 		})
@@ -149,7 +151,7 @@
 	})
 	p := newPool()
 	for range 2 {
-		body, failure := ask(background(t), p, address, "1")
+		body, failure := send(background(t), p, address, "1")
 		assert.Assert(t, failure == nil, "%v", failure)
 		assert.Equal(t, body, "whole")
 	}
@@ -161,17 +163,17 @@
 func TestLateDuplicateResponseIsSkipped(t *testing.T) {
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
 		first, _, _ := read(r)
-		_, _ = io.WriteString(conn, answer(first, "first"))
+		_, _ = io.WriteString(conn, rawResponse(first, "first"))
 		second, _, err := read(r)
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, answer(first, "surplus")+answer(second, "second"))
+		_, _ = io.WriteString(conn, rawResponse(first, "surplus")+rawResponse(second, "second"))
 	})
 	p := newPool()
-	_, failure := ask(background(t), p, address, "1")
+	_, failure := send(background(t), p, address, "1")
 	assert.Assert(t, failure == nil, "%v", failure)
-	body, failure := ask(background(t), p, address, "2")
+	body, failure := send(background(t), p, address, "2")
 	assert.Assert(t, failure == nil, "%v", failure)
 	assert.Equal(t, body, "second")
 	assert.Equal(t, p.Opened(), int64(1))
@@ -181,12 +183,12 @@
 func TestTrailingBytesEndTheConnection(t *testing.T) {
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
 		id, _, _ := read(r)
-		_, _ = io.WriteString(conn, answer(id, "whole")+answer(id, "again"))
+		_, _ = io.WriteString(conn, rawResponse(id, "whole")+rawResponse(id, "again"))
 		_, _ = r.ReadByte()
 	})
 	p := newPool()
 	for i := range 3 {
-		body, failure := ask(background(t), p, address, fmt.Sprint(i))
+		body, failure := send(background(t), p, address, fmt.Sprint(i))
 		assert.Assert(t, failure == nil, "%v", failure)
 		assert.Equal(t, body, "whole")
 	}
@@ -202,7 +204,7 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.WriteString(conn, answer(req.Header.Get("Id"), "early"))
+		_, _ = io.WriteString(conn, rawResponse(req.Header.Get("Id"), "early"))
 		n, _ := io.Copy(io.Discard, r)
 		rest <- n
 	})
@@ -227,7 +229,7 @@
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	_, failure := ask(background(t), newPool(), address, "1")
+	_, failure := send(background(t), newPool(), address, "1")
 	assert.Assert(t, failure != nil)
 	assert.Equal(t, failure.Verdict, verdict.NotRun)
 	assert.Equal(t, failure.Reason, upstream.ReasonDial)
@@ -238,13 +240,13 @@
 	closed := make(chan struct{}, 3)
 	address := server(t, func(conn net.Conn, r *bufio.Reader) {
 		id, _, _ := read(r)
-		_, _ = io.WriteString(conn, answer(id, "whole"))
+		_, _ = io.WriteString(conn, rawResponse(id, "whole"))
 		_ = conn.Close()
 		closed <- struct{}{}
 	})
 	p := newPool()
 	for i := range 3 {
-		_, failure := ask(background(t), p, address, fmt.Sprint(i))
+		_, failure := send(background(t), p, address, fmt.Sprint(i))
 		assert.Assert(t, failure == nil, "%v", failure)
 		<-closed
 	}
@@ -263,7 +265,7 @@
 		<-began
 		cancel()
 	}()
-	_, failure := ask(ctx, newPool(), address, "1")
+	_, failure := send(ctx, newPool(), address, "1")
 	assert.Equal(t, failure.Reason, upstream.ReasonCanceled)
 	assert.Equal(t, failure.Verdict, verdict.MayHaveRun)
 	assert.Assert(t, <-left != nil)
@@ -275,12 +277,12 @@
 		id, _, _ := read(r)
 		close(began)
 		<-release
-		_, _ = io.WriteString(conn, answer(id, "whole"))
+		_, _ = io.WriteString(conn, rawResponse(id, "whole"))
 	})
 	p := newPool()
 	done := make(chan *upstream.Failure, 1)
 	go func() {
-		_, failure := ask(background(t), p, address, "1")
+		_, failure := send(background(t), p, address, "1")
 		done <- failure
 	}()
 	<-began
@@ -300,12 +302,12 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(conn, answer(id, "body"))
+			_, _ = io.WriteString(conn, rawResponse(id, "body"))
 		}
 	}
 	p := upstream.NewPool(network.NewDialer(time.Second, time.Second), headerCodec{}, 2)
 	for i := range 4 {
-		_, failure := ask(background(t), p, server(t, serve), fmt.Sprint(i))
+		_, failure := send(background(t), p, server(t, serve), fmt.Sprint(i))
 		assert.Assert(t, failure == nil, "%v", failure)
 	}
 	for i := range 2 {
@@ -313,7 +315,7 @@
 		assert.Assert(t, failure == nil, "%v", failure)
 		defer held.Close()
 	}
-	_, failure := ask(background(t), p, server(t, serve), "too many")
+	_, failure := send(background(t), p, server(t, serve), "too many")
 	assert.Equal(t, failure.Reason, upstream.ReasonNoConns)
 	assert.Equal(t, failure.Verdict, verdict.NotRun)
 }
@@ -325,7 +327,7 @@
 			if err != nil {
 				return
 			}
-			_, _ = io.WriteString(conn, answer(id, "body"))
+			_, _ = io.WriteString(conn, rawResponse(id, "body"))
 		}
 	})
 	p := newPool()
