--- a/internal/testing/soak/cluster.go
+++ b/internal/testing/soak/cluster.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// diskFaultTolerance is how many disks the daemons must bear to lose at once.
+	// diskFaultTolerance is the number of disks that may be lost at the same time.
 	diskFaultTolerance = 1
-	// graceSeconds is the time between SIGTERM and SIGKILL.
+	// graceSeconds is the grace period of the daemons after SIGTERM, in seconds.
 	graceSeconds = 8
-	// readyTimeout bounds how long the daemons may take to be ready at first.
+	// readyTimeout bounds the time until a front daemon is ready.
 	readyTimeout = 20 * time.Second
 )
 
-// server is a backend server behind a link that can be harmed.
+// server is a backend server behind a proxy that can disturb its connections.
 type server struct {
 	*workload.Server
 	http *http.Server
@@ -47,11 +47,11 @@
 	return s, nil
 }
 
-// process is one daemon.
+// process is one daemon, which may be restarted.
 type process struct {
 	node, class, ip, dir string
 	settings             platformtest.Settings
-	// store and callers are its links to the platform's store and, for a front, from callers.
+	// store proxies its connections to the platform's store; callers those from callers, for a front daemon only.
 	store, callers *proxy
 
 	mu           sync.Mutex
@@ -60,7 +60,7 @@
 	exitExpected bool
 }
 
-// Cluster is a run's processes and stand-ins.
+// Cluster holds the daemons of a run, the backend servers, and the stand-in for the platform's store.
 type Cluster struct {
 	plan      Plan
 	binary    string
@@ -74,15 +74,16 @@
 
 	mu      sync.Mutex
 	version int64
-	// revoked tells that the bounded organisation is taken away.
+	// revoked is set while the limited organisation is removed.
 	revoked bool
 }
 
-// NewCluster starts the stand-ins and the daemons of a plan. network picks the second byte of the VMs' loopback
-// addresses, so that runs beside one another do not meet. dir takes settings, disks and logs.
+// NewCluster starts the stand-ins and the daemons of a plan. network is the second byte of the daemons' loopback
+// addresses, which must differ between concurrent runs. Settings, data and logs are written to dir. The caller must
+// close the cluster if it is not nil, also on an error.
 func NewCluster(plan Plan, binary, dir string, network int) (*Cluster, error) {
 	c := &Cluster{plan: plan, binary: binary, dir: dir, checker: workload.NewChecker(), store: platformtest.NewStore()}
-	// Faults overlap here: a paused daemon, or one that the store turns away, can't know who leaves.
+	// Faults overlap: a paused daemon, or one that can't reach the store, does not learn which servers are draining.
 	c.checker.AllowLateArrivals(time.Now().Add(24 * time.Hour))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -142,7 +143,7 @@
 	return os.MkdirAll(p.dir, 0o755)
 }
 
-// putNextConfig puts the next version in force.
+// putNextConfig publishes the next configuration version.
 func (c *Cluster) putNextConfig() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,7 +155,7 @@
 	c.store.SetConfig(workload.Config(c.version), organisations...)
 }
 
-// start runs a daemon's program. A daemon that ends without being asked to breaks a promise.
+// start starts a daemon. It is a violation if the daemon exits unexpectedly.
 func (c *Cluster) start(p *process) error {
 	path := filepath.Join(p.dir, "settings.toml")
 	if err := platformtest.WriteSettings(path, p.settings); err != nil {
@@ -180,7 +181,7 @@
 		_ = out.Close()
 		p.mu.Lock()
 		if !p.exitExpected {
-			c.checker.AddViolation("%s ended by itself: %v", p.node, err)
+			c.checker.AddViolation("%s exited unexpectedly: %v", p.node, err)
 		}
 		p.mu.Unlock()
 		close(exited)
@@ -188,7 +189,8 @@
 	return nil
 }
 
-// signal sends a signal to a running daemon. ends tells that it is meant to end by it.
+// signal sends a signal to a running daemon; expectExit is set if the daemon is to exit. It returns a channel that is
+// closed on exit, and whether the signal was sent.
 func (p *process) signal(s syscall.Signal, expectExit bool) (<-chan struct{}, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,17 +201,18 @@
 	return p.exited, p.cmd.Process.Signal(s) == nil
 }
 
-// resume lets a paused process go on, also one that was asked to stop meanwhile: a stopped process handles no signal, so it
-// would outlive its grace.
+// resume resumes a paused process, also if it got SIGTERM meanwhile: a paused process can't handle the signal and would
+// exceed its grace period.
 func (p *process) resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // it may have ended
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // the process may have exited
 	}
 }
 
-// restart ends a daemon, does something to its disk, and starts it again after a time.
+// restart stops a daemon with a signal, calls damage with its data directory if that is not nil, and starts the daemon
+// again after downTime.
 func (c *Cluster) restart(p *process, s syscall.Signal, downTime time.Duration, damage func(dir string) error) {
 	exited, sent := p.signal(s, true)
 	if !sent {
@@ -218,7 +221,7 @@
 	select {
 	case <-exited:
 	case <-time.After((graceSeconds + 1) * time.Second):
-		c.checker.AddViolation("%s still ran %d s after SIGTERM", p.node, graceSeconds+1)
+		c.checker.AddViolation("%s still running %d s after its stop signal", p.node, graceSeconds+1)
 		_ = p.cmd.Process.Kill()
 		<-exited
 	}
@@ -233,7 +236,7 @@
 	}
 }
 
-// awaitReady waits until every front says that it is ready.
+// awaitReady waits until all front daemons report that they are ready.
 func (c *Cluster) awaitReady() error {
 	client := &http.Client{Timeout: time.Second}
 	for _, p := range c.processes {
@@ -266,7 +269,7 @@
 	}
 }
 
-// Close ends every process that this world started, by its id, and the stand-ins.
+// Close waits for the faults in progress, and kills all processes and stand-ins that the cluster started.
 func (c *Cluster) Close() {
 	c.wg.Wait()
 	for _, p := range c.processes {
--- a/internal/testing/soak/plan.go
+++ b/internal/testing/soak/plan.go
@@ -1,7 +1,7 @@
-// Package soak runs the real daemons as separate processes on one machine, injects faults from outside them,
-// and checks what callers and backend servers see.
+// Package soak runs real daemons as separate processes on one machine, injects faults from the outside, and checks the
+// invariants that callers and backend servers can observe.
 //
-// A seed decides the plan: which fault strikes what, when and for how long. A plan can be printed and replayed.
+// A seed determines the plan: the kind, target, time and duration of each fault. A plan can be printed and replayed.
 package soak
 
 import (
@@ -13,53 +13,53 @@
 	"time"
 )
 
-// Kind is a fault.
+// Kind is a kind of fault.
 type Kind string
 
-// The faults.
+// The kinds of faults.
 const (
-	// Pause stops a process and lets it go on later.
+	// Pause suspends a process with SIGSTOP and resumes it later.
 	Pause Kind = "pause"
-	// Kill ends a process; it is started again later.
+	// Kill kills a process and restarts it later.
 	Kill Kind = "kill"
-	// Term asks a process to stop in order; it is started again once it has.
+	// Term stops a process gracefully with SIGTERM and restarts it after its exit.
 	Term Kind = "term"
-	// DiskWipe kills a store daemon and empties its disk.
+	// DiskWipe kills a store daemon, deletes its data and restarts it.
 	DiskWipe Kind = "wipe"
-	// TornWrite kills a store daemon and spoils what its disk had not synced.
+	// TornWrite kills a store daemon, appends a partial record to its newest file and restarts it.
 	TornWrite Kind = "tear"
-	// KillAll kills every process.
+	// KillAll kills all processes and restarts them.
 	KillAll Kind = "kill-all"
-	// StoreDown makes the platform's store refuse, StoreSilent say nothing, StoreLost lose answers.
+	// StoreDown makes the platform's store reject requests, StoreHang leave them unanswered, StoreLost drop responses.
 	StoreDown Kind = "store-down"
 	StoreHang Kind = "store-silent"
 	StoreLost Kind = "store-lost"
-	// StoreCompact drops the store's history.
+	// StoreCompact drops the store's change history, so that watches have to list again.
 	StoreCompact Kind = "store-forget"
-	// ServerHang, ServerCut, ServerSurplus and ServerShed spoil the answers of one backend server.
+	// ServerHang, ServerTruncate, ServerDuplicate and ServerShed change the answers of one backend server.
 	ServerHang      Kind = "server-hang"
 	ServerTruncate  Kind = "server-cut"
 	ServerDuplicate Kind = "server-surplus"
 	ServerShed      Kind = "server-shed"
-	// ServerDrain takes one backend server away, and brings another at the same address.
+	// ServerDrain drains and removes a backend server and starts another one at the same address.
 	ServerDrain Kind = "server-drain"
-	// ServerRestart crashes one backend server silently, and starts it again under its name. EntrySpoil writes over its entry
-	// what no server writes.
+	// ServerRestart crashes a backend server without closing its connections and restarts it under the same name.
+	// EntryCorrupt overwrites a server's registry entry with an invalid one.
 	ServerRestart Kind = "server-restart"
 	EntryCorrupt  Kind = "entry-spoil"
-	// LinkDelay, LinkReset, LinkOneWay and LinkSilent harm the connections from one process to the servers and the
-	// store.
+	// LinkDelay, LinkReset, LinkOneWay and LinkBlackhole disturb the connections of one process to the store and from
+	// callers, and those to one server.
 	LinkDelay     Kind = "link-delay"
 	LinkReset     Kind = "link-reset"
 	LinkOneWay    Kind = "link-one-way"
 	LinkBlackhole Kind = "link-silent"
-	// Config brings a new version with one more route.
+	// Config publishes a new configuration version with one more route.
 	Config Kind = "config"
-	// KeyRevoke takes an organisation away with its keys, and brings it back.
+	// KeyRevoke removes an organisation and its keys and restores it later.
 	KeyRevoke Kind = "key-withdraw"
 )
 
-// Fault is one entry of a plan.
+// Fault is one fault of a plan. Target is an index of a process or server, depending on Kind.
 type Fault struct {
 	Kind   Kind          `json:"kind"`
 	At     time.Duration `json:"at"`
@@ -67,7 +67,7 @@
 	Target int           `json:"target"`
 }
 
-// Plan is a whole run.
+// Plan describes a run.
 type Plan struct {
 	Seed    uint64        `json:"seed"`
 	Fronts  int           `json:"fronts"`
@@ -78,20 +78,21 @@
 	Faults  []Fault       `json:"faults"`
 }
 
-// Size bounds a drawn plan.
+// Size is the size of a generated plan.
 type Size struct {
 	Fronts, Stores, Servers, Callers int
 	Length                           time.Duration
 }
 
-// SmallSize is a run of a few seconds with a dozen processes.
+// SmallSize is the size of a run of a few seconds with a few processes.
 var SmallSize = Size{Fronts: 3, Stores: 3, Servers: 6, Callers: 8, Length: 8 * time.Second}
 
-// diskRecoveryTime is the time that a lost disk needs before another may be lost: its restart and refill.
+// diskRecoveryTime is the minimum time between the end of a disk fault and the next one. In this time the store daemon
+// restarts and copies its data from the others.
 const diskRecoveryTime = 6 * time.Second
 
-// GeneratePlan returns the plan of a seed: series of faults that may overlap, but never more disks lost at once than
-// the one that is borne.
+// GeneratePlan returns the plan of a seed. Faults may overlap, but no two disks are lost at the same time, because the
+// daemons tolerate the loss of one.
 func GeneratePlan(seed uint64, size Size) Plan {
 	r := rand.New(rand.NewPCG(seed, 1))
 	p := Plan{Seed: seed, Fronts: size.Fronts, Stores: size.Stores, Servers: size.Servers, Callers: size.Callers, Length: size.Length}
@@ -127,8 +128,8 @@
 
 func compareByTime(a, b Fault) int { return cmp.Compare(a.At, b.At) }
 
-// generateEntryFaults draws what befalls servers' starts and entries. It has numbers of its own, so that what a seed draws of the
-// other faults does not depend on it.
+// generateEntryFaults returns the ServerRestart and EntryCorrupt faults of a seed. It has its own random sequence, so
+// that the other faults of a seed do not depend on it.
 func generateEntryFaults(seed uint64, size Size) []Fault {
 	r := rand.New(rand.NewPCG(seed, 2))
 	var faults []Fault
@@ -139,25 +140,25 @@
 	return faults
 }
 
-// generateKeyFault draws when an organisation is taken away: for longer than the time within which everybody must know.
+// generateKeyFault returns the KeyRevoke fault of a seed. It lasts longer than revocationTime.
 func generateKeyFault(seed uint64) Fault {
 	r := rand.New(rand.NewPCG(seed, 3))
 	return Fault{Kind: KeyRevoke, At: time.Duration(500+r.IntN(2000)) * time.Millisecond,
 		For: revocationTime + time.Duration(500+r.IntN(1500))*time.Millisecond}
 }
 
-// ParsePlan reads a plan that String wrote, and names what is wrong with it.
+// ParsePlan parses and validates a plan in the format of String.
 func ParsePlan(data []byte) (Plan, error) {
 	var p Plan
 	if err := json.Unmarshal(data, &p); err != nil {
 		return p, fmt.Errorf("plan: %w", err)
 	}
 	if p.Fronts < 1 || p.Stores < 1 || p.Servers < 2 || p.Callers < 1 || p.Length <= 0 {
-		return p, fmt.Errorf("plan: fronts, stores, callers and length must be above 0, servers above 1")
+		return p, fmt.Errorf("plan: fronts, stores, callers and length must be at least 1, servers at least 2")
 	}
 	for i, f := range p.Faults {
 		if f.Target < 0 || f.Target >= max(p.Fronts+p.Stores, p.Servers) {
-			return p, fmt.Errorf("plan: fault %d: no target %d", i, f.Target)
+			return p, fmt.Errorf("plan: fault %d: target %d out of range", i, f.Target)
 		}
 	}
 	slices.SortStableFunc(p.Faults, compareByTime)
@@ -166,6 +167,6 @@
 
 // String returns the plan as JSON.
 func (p Plan) String() string {
-	data, _ := json.Marshal(p) // plain numbers and texts
+	data, _ := json.Marshal(p) // can't fail: only numbers and strings
 	return string(data)
 }
--- a/internal/testing/soak/proxy.go
+++ b/internal/testing/soak/proxy.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// mode is what a proxy does to the bytes that pass it.
+// mode is how a proxy treats the data that it forwards.
 type mode int
 
 const (
 	pass mode = iota
-	// delay holds each piece up for delayTime.
+	// delay delays each chunk by addedDelay.
 	delay
-	// reset ends every connection, old and new.
+	// reset resets all existing and new connections.
 	reset
-	// oneWay lets nothing back.
+	// oneWay holds back all data towards the client.
 	oneWay
-	// blackhole lets nothing through either way; the bytes follow once it ends.
+	// blackhole holds back data in both directions. The data is delivered when the mode ends.
 	blackhole
 )
 
 const addedDelay = 60 * time.Millisecond
 
-// proxy carries connections to a target and harms them.
+// proxy is a TCP proxy to a target that can disturb its connections.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -61,13 +61,13 @@
 	}
 }
 
-// close ends the proxy and all that it carries.
+// close closes the listener and resets all connections.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.set(reset)
 }
 
-// resetConn ends a connection with a reset.
+// resetConn closes a connection with a TCP reset.
 func resetConn(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -116,7 +116,8 @@
 	return true
 }
 
-// copy passes bytes on until either side ends, and passes the kind of end on too.
+// copy forwards data until either side fails or is closed. It closes the other side in the same way: with or without a
+// reset.
 func (p *proxy) copy(to, from net.Conn, towardsClient bool) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -138,7 +139,7 @@
 	}
 }
 
-// awaitPass waits for as long as the mode asks, and tells whether the bytes may pass.
+// awaitPass blocks as the mode requires and reports whether the data is to be forwarded.
 func (p *proxy) awaitPass(towardsClient bool) bool {
 	for {
 		p.mu.Lock()
--- a/internal/testing/soak/run.go
+++ b/internal/testing/soak/run.go
@@ -15,17 +15,18 @@
 	"github.com/rookpass/rookpass/platform/platformtest"
 )
 
-// Result is what a run found.
+// Result is the result of a run.
 type Result struct {
-	// Violations are the broken promises; none means that the run passed.
+	// Violations lists the violated invariants. The run has passed if there are none.
 	Violations []string
-	Counts     map[string]int
+	// Counts is the number of requests by outcome.
+	Counts map[string]int
 }
 
-// resumableInterval: one caller in so many asks for turns that are not kept.
+// resumableInterval: every resumableInterval-th caller runs programs with resumable turns.
 const resumableInterval = 3
 
-// Run plays a plan and checks the promises.
+// Run runs a plan and checks the invariants. binary is the rookpass-node binary; see NewCluster for dir and network.
 func Run(ctx context.Context, plan Plan, binary, dir string, network int) (Result, error) {
 	cluster, err := NewCluster(plan, binary, dir, network)
 	if cluster != nil {
@@ -57,7 +58,7 @@
 		callers.Go(func() { c.Run(workload.IdempotentCalls, stop) })
 	}
 	cluster.injectFaults(ctx)
-	cluster.wg.Wait() // the organisation is back
+	cluster.wg.Wait() // until all faults are undone, so that the organisation exists again
 	close(stop)
 	callers.Wait()
 	cluster.awaitFaultsUndone()
@@ -66,7 +67,7 @@
 	return Result{Violations: cluster.checker.Violations(), Counts: cluster.checker.Counts()}, ctx.Err()
 }
 
-// injectFaults strikes with each fault at its time.
+// injectFaults injects each fault of the plan at its time, and returns when the length of the plan has passed.
 func (c *Cluster) injectFaults(ctx context.Context) {
 	began := time.Now()
 	for _, f := range c.plan.Faults {
@@ -87,7 +88,7 @@
 	}
 }
 
-// inject does one fault, and undoes it after its time.
+// inject injects one fault and undoes it after its duration.
 func (c *Cluster) inject(f Fault) {
 	switch f.Kind {
 	case Pause, Kill, Term, DiskWipe, TornWrite, KillAll:
@@ -149,7 +150,7 @@
 	}
 }
 
-// appendTornRecord adds to the newest file what a write that was never synced may leave.
+// appendTornRecord appends a partial record to the newest turn file, as a write that was not synced may leave it.
 func appendTornRecord(dir string) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.turns"))
 	if err != nil || len(files) == 0 {
@@ -179,7 +180,7 @@
 	c.store.SetFault(nil, false)
 }
 
-// injectLinkFaults harms a daemon's link to the store, that from its callers, and that of one server.
+// injectLinkFaults disturbs a daemon's connections to the store and from callers, and the connections to one server.
 func (c *Cluster) injectLinkFaults(f Fault) {
 	m := map[Kind]mode{LinkDelay: delay, LinkReset: reset, LinkOneWay: oneWay, LinkBlackhole: blackhole}[f.Kind]
 	p := c.processes[f.Target%len(c.processes)]
@@ -196,7 +197,7 @@
 	}
 }
 
-// replaceServer drains a server; after a while another one answers at its address.
+// replaceServer drains and removes a server, and then starts another one at its address.
 func (c *Cluster) replaceServer(f Fault) {
 	s := c.servers[f.Target%len(c.servers)]
 	old := s.Drain()
@@ -206,7 +207,7 @@
 	c.store.SetServer(s.Replace())
 }
 
-// corruptEntry writes over a server's entry what no server writes, and lets the server write its own again.
+// corruptEntry overwrites a server's registry entry with an invalid one, and restores it later.
 func (c *Cluster) corruptEntry(f Fault) {
 	s := c.servers[f.Target%len(c.servers)]
 	entry := s.Entry()
@@ -217,19 +218,21 @@
 }
 
 const (
-	// limitedOrganisation is an organisation whose callers ask for more than its limit, boundedCallers how many there are.
+	// limitedOrganisation is an organisation with limitedCallers callers, which exceed its limit of limitedRate requests
+	// per second.
 	limitedOrganisation = "west"
 	limitedCallers      = 3
 	limitedRate         = 20
-	// revocationTime is within which a withdrawn key must be refused everywhere.
+	// revocationTime is the time within which all daemons must reject a revoked key.
 	revocationTime = 5 * time.Second
-	// quotaWindow is the time over which limits are looked at; excess and slack are what may be exceeded there.
+	// quotaWindow is the length of the windows in which rate limits are checked. A window may exceed its limit by the
+	// fraction quotaExcess plus quotaSlack requests.
 	quotaWindow = 5 * time.Second
 	quotaExcess = 0.1
 	quotaSlack  = 20
 )
 
-// setLimitedPresent takes the bounded organisation away, or brings it back.
+// setLimitedPresent adds the limited organisation to the configuration or removes it.
 func (c *Cluster) setLimitedPresent(present bool) {
 	c.mu.Lock()
 	c.revoked = !present
@@ -242,26 +245,26 @@
 	c.checker.RecordRevocation(limitedOrganisation, from)
 }
 
-// checkRateLimit asks that no window held more of the bounded organisation's requests than is borne.
+// checkRateLimit checks that no window has more requests of the limited organisation than allowed.
 func (c *Cluster) checkRateLimit() {
 	allowed := (limitedRate*quotaWindow.Seconds()+limitedRate)*(1+quotaExcess) + quotaSlack
 	if n := c.checker.MaxRunsWithin(limitedOrganisation, quotaWindow); float64(n) > allowed {
-		c.checker.AddViolation("%d requests of %s ran within %v, of %.0f", n, limitedOrganisation, quotaWindow, allowed)
+		c.checker.AddViolation("%d requests of %s ran within %v, at most %.0f are allowed", n, limitedOrganisation, quotaWindow, allowed)
 	}
 }
 
-// awaitFaultsUndone waits until every fault has been undone and every process runs.
+// awaitFaultsUndone waits until all faults are undone and all front daemons are ready.
 func (c *Cluster) awaitFaultsUndone() {
 	c.wg.Wait()
 	for _, s := range c.servers {
 		s.link.set(pass)
 	}
 	if err := c.awaitReady(); err != nil {
-		c.checker.AddViolation("after the faults: %v", err)
+		c.checker.AddViolation("not ready after the faults: %v", err)
 	}
 }
 
-// checkRecovery asks that every caller's last program goes on, and a new one runs whole.
+// checkRecovery checks that every caller can continue its last program and start a new one.
 func (c *Cluster) checkRecovery(callers []*workload.Caller) {
 	var wg sync.WaitGroup
 	for _, c := range callers {
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -11,23 +11,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestShortRun plays one seed on real daemons.
+// TestShortRun runs the plan of one seed on real daemons.
 func TestShortRun(t *testing.T) {
 	size := SmallSize
 	size.Length = 5 * time.Second
 	runPlan(t, GeneratePlan(7, size), 31)
 }
 
-// TestPausedProcessIsStopped: seeds 5015 and 5117 asked a paused daemon to stop and never let it go on, so it outlived its
-// grace without a log line. The fault was the soak's.
-func TestPausedProcessIsStopped(t *testing.T) {
+// TestTermWhilePaused: a daemon that gets SIGTERM while it is paused has to be resumed, or it can't stop within its
+// grace period.
+func TestTermWhilePaused(t *testing.T) {
 	plan, err := ParsePlan([]byte(`{"seed":5117,"fronts":2,"stores":3,"servers":4,"callers":4,"length":4000000000,"faults":[
 		{"kind":"pause","at":500000000,"for":2000000000,"target":1},{"kind":"term","at":1200000000,"for":300000000,"target":1}]}`))
 	assert.NilError(t, err)
 	runPlan(t, plan, 32)
 }
 
-// runPlan plays a plan on real daemons, and asks that no promise breaks.
+// runPlan runs a plan on real daemons and fails the test if an invariant is violated.
 func runPlan(t *testing.T, plan Plan, network int) {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "rookpass-node")
@@ -40,7 +40,7 @@
 	assert.Assert(t, result.Counts["turn whole"] > 0 && result.Counts["call whole"] > 0)
 }
 
-func TestPlansFollowTheirSeed(t *testing.T) {
+func TestPlansAreDeterministic(t *testing.T) {
 	assert.Equal(t, GeneratePlan(5, SmallSize).String(), GeneratePlan(5, SmallSize).String())
 	assert.Assert(t, GeneratePlan(5, SmallSize).String() != GeneratePlan(6, SmallSize).String())
 	plan := GeneratePlan(5, SmallSize)
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestPlansLoseOneDiskAtATime: more would be beyond what the daemons must bear.
+// TestPlansLoseOneDiskAtATime: the daemons tolerate the loss of one disk only.
 func TestPlansLoseOneDiskAtATime(t *testing.T) {
 	size := SmallSize
 	size.Length = time.Minute
@@ -61,7 +61,7 @@
 		var free time.Duration
 		for _, f := range GeneratePlan(seed, size).Faults {
 			if f.Kind == DiskWipe || f.Kind == TornWrite {
-				assert.Assert(t, f.At >= free, "seed %d loses two disks at %v", seed, f.At)
+				assert.Assert(t, f.At >= free, "seed %d: second disk lost at %v", seed, f.At)
 				free = f.At + f.For + diskRecoveryTime
 			}
 		}
