--- a/internal/testing/faultmatrix/badinput_test.go
+++ b/internal/testing/faultmatrix/badinput_test.go
@@ -14,7 +14,7 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// TestBadInput: each bad request is refused with its code, as not run, and changes nothing.
+// TestBadInput: each invalid request is rejected with its code, as not run, and changes nothing.
 func TestBadInput(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 2, 1)
@@ -24,7 +24,7 @@
 				SecretHashes: []string{callerHash}, Definitions: []string{"agent"},
 			}},
 		})
-		// A daemon that has not learnt of an organisation yet can't tell its callers from strangers.
+		// A daemon that does not know an organisation yet rejects its callers as unauthenticated.
 		c.await(2*time.Second, "the organisation is known to every daemon", func() bool { return c.configInForce(changed) })
 		a := newAgent(c, c.nodes[0])
 		id, err := a.start("key", 0)
--- a/internal/testing/faultmatrix/cluster_test.go
+++ b/internal/testing/faultmatrix/cluster_test.go
@@ -27,14 +27,14 @@
 	"github.com/rookpass/rookpass/internal/transport/network/memnet"
 )
 
-// Addresses of the outside systems in memory.
+// Addresses of the stand-ins in the in-memory network.
 const (
 	engineAddress = "10.0.1.%d:80"
 	toolAddress   = "10.0.2.1:80"
 	plainAddress  = "10.0.3.1:80"
 )
 
-// Hosts that are not daemons.
+// Hosts other than the daemons.
 const (
 	backendHost  = "backends"
 	callerHost   = "caller"
@@ -45,14 +45,14 @@
 	organisation = "farm"
 	partitions   = 4
 	engineCount  = 2
-	// organisationBudget makes daemons borrow from one another's common budget.
+	// organisationBudget is shared by all daemons, so that they have to borrow from one another.
 	organisationBudget = 5_000_000
 )
 
 var callerSecret, callerHash = auth.NewSecret()
 var rootSecret, rootHash = auth.NewSecret()
 
-// cluster is a whole rookpass in one bubble of virtual time: real daemons over connections in memory.
+// cluster is a rookpass cluster in a synctest bubble: real daemons and stand-ins on an in-memory network.
 type cluster struct {
 	t       *testing.T
 	random  *rand.Rand
@@ -64,23 +64,24 @@
 	plain   *standin.Service
 }
 
-// node is one daemon with its own, faulty way to the object API.
+// node is a host of a daemon, with its own connection to the object API, in which faults can be injected.
 type node struct {
 	name  string
 	index int
 	fault *apitest.API
-	// instance is the running daemon; nil while it is dead.
+	// instance is the current daemon; nil if it was killed.
 	instance *instance
 }
 
+// instance is one run of a daemon.
 type instance struct {
 	daemon *daemon.Daemon
 	cancel context.CancelFunc
-	// done is closed when the daemon has ended: it was killed, or its planned stop is complete.
+	// done is closed when the daemon has exited: it was killed, or its planned stop is complete.
 	done chan struct{}
 }
 
-// alive tells whether the node's daemon runs.
+// alive reports whether the node's daemon is running.
 func (n *node) alive() bool {
 	if n.instance == nil {
 		return false
@@ -93,7 +94,7 @@
 	}
 }
 
-// newCluster starts daemons and waits until they serve. The seed decides which daemon owns what.
+// newCluster starts daemons and waits until they are ready. The seed determines which daemon owns which partition.
 func newCluster(t *testing.T, daemons int, seed uint64) *cluster {
 	t.Helper()
 	c := &cluster{t: t, random: rand.New(rand.NewPCG(seed, 0)), fabric: memnet.New(), store: memapi.New()}
@@ -109,7 +110,7 @@
 	return c
 }
 
-// address returns one of a node's addresses.
+// address returns the node's address with a port.
 func (n *node) address(port int) string { return fmt.Sprintf("10.0.0.%d:%d", n.index, port) }
 
 func (c *cluster) startBackends() {
@@ -142,12 +143,12 @@
 	})
 }
 
-// discardLogger drops the complaints of servers whose clients were killed.
+// discardLogger discards the log lines of servers, which report every killed client.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
 
-// configure writes the configuration straight into the object API.
+// configure writes the configuration directly to the store of the object API.
 func (c *cluster) configure() {
 	c.put(&rookpassv1.Object{
 		Key: &rookpassv1.ObjectKey{Kind: rookpassv1.Kind_KIND_ORGANISATION, Name: organisation},
@@ -183,7 +184,7 @@
 	}
 }
 
-// put creates or replaces a configuration object and returns its version.
+// put creates or replaces a configuration object and returns its new version.
 func (c *cluster) put(object *rookpassv1.Object) uint64 {
 	c.t.Helper()
 	key, _ := config.Key(object.Key)
@@ -198,7 +199,7 @@
 	return written.Version
 }
 
-// configInForce tells whether every live daemon has a change in force.
+// configInForce reports whether all running daemons have applied the change with a version.
 func (c *cluster) configInForce(version uint64) bool {
 	for _, n := range c.nodes {
 		if n.alive() && n.instance.daemon.Config().AsOf() < version {
@@ -219,7 +220,7 @@
 	return s
 }
 
-// start starts a node's daemon.
+// start starts a new daemon on a node.
 func (c *cluster) start(n *node) {
 	c.t.Helper()
 	c.fabric.Restart(n.name)
@@ -237,7 +238,7 @@
 	c.t.Cleanup(func() { c.kill(n) })
 }
 
-// kill drops a node's daemon with all its memory.
+// kill kills a node's daemon without a graceful stop, and waits until it has ended.
 func (c *cluster) kill(n *node) {
 	inst := n.instance
 	if inst == nil {
@@ -249,10 +250,10 @@
 	<-inst.done
 }
 
-// awaitReady returns once every live daemon serves.
+// awaitReady waits until all running daemons are ready.
 func (c *cluster) awaitReady() {
 	c.t.Helper()
-	c.await(time.Minute, "daemons serve", func() bool {
+	c.await(time.Minute, "all daemons are ready", func() bool {
 		for _, n := range c.nodes {
 			if n.alive() && n.instance.daemon.Ready() != nil {
 				return false
@@ -262,20 +263,20 @@
 	})
 }
 
-// await polls until a condition holds.
+// await polls a condition, and fails the test if it does not hold within the limit.
 func (c *cluster) await(limit time.Duration, what string, holds func() bool) {
 	c.t.Helper()
 	for began := time.Now(); !holds(); <-time.After(50 * time.Millisecond) {
 		if time.Since(began) > limit {
-			c.t.Fatalf("after %v: not true that %s", limit, what)
+			c.t.Fatalf("condition not met after %v: %s", limit, what)
 		}
 	}
 }
 
-// client returns a caller's connection to a node.
+// client returns a caller's client that connects to a node.
 func (c *cluster) client(n *node) *client.Client { return c.connect(n, organisation, callerSecret) }
 
-// operator returns an operator's connection to a node.
+// operator returns an operator's client that connects to a node.
 func (c *cluster) operator(n *node) *client.Client {
 	return c.connect(n, auth.RootOperator, rootSecret)
 }
@@ -293,7 +294,7 @@
 	return conn
 }
 
-// ownerOf returns the node that holds a program.
+// ownerOf returns the running node that owns a program, or nil.
 func (c *cluster) ownerOf(programID string) *node {
 	c.t.Helper()
 	for _, n := range c.nodes {
@@ -304,7 +305,7 @@
 	return nil
 }
 
-// nextAlive returns the next live node after the given one, or nil.
+// nextAlive returns the next running node after the given one, or nil.
 func (c *cluster) nextAlive(not *node) *node {
 	for i := range c.nodes {
 		if n := c.nodes[(not.index+i)%len(c.nodes)]; n != not && n.alive() {
@@ -314,7 +315,7 @@
 	return nil
 }
 
-// definitionKey returns the object API key of the program definition.
+// definitionKey returns the object API key of the program definition, and whether it is valid.
 func definitionKey() (string, bool) {
 	return config.Key(&rookpassv1.ObjectKey{Kind: rookpassv1.Kind_KIND_DEFINITION, Name: "agent"})
 }
--- a/internal/testing/faultmatrix/history_test.go
+++ b/internal/testing/faultmatrix/history_test.go
@@ -12,24 +12,24 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/client"
 )
 
-// outcome is what the caller was last told of one request.
+// outcome is the outcome of one request from the caller's view.
 type outcome struct {
 	program string
 	call    *rookpassv1.CallRequest
-	// answered is set when a final event came; verdict is its verdict, or the error's.
+	// answered is set if there was a final event. verdict is its verdict, or that of the last error.
 	answered bool
 	verdict  verdict.Verdict
 	output   []byte
-	// attemptErrors are the errors that came before, in order.
+	// attemptErrors are the errors of failed attempts, in order.
 	attemptErrors []error
 }
 
-// history is what the caller saw, in the order of its requests.
+// history holds what the caller observed. outcomes are in the order of the requests.
 type history struct {
 	outcomes []*outcome
 	programs map[string]*rookpassv1.Program
 	ended    map[string]bool
-	// started is what the caller believes to have started, by idempotency key.
+	// started holds the IDs of started programs by idempotency key.
 	started map[string]string
 }
 
@@ -37,13 +37,13 @@
 	return &history{programs: map[string]*rookpassv1.Program{}, ended: map[string]bool{}, started: map[string]string{}}
 }
 
-// agent is a caller that runs programs through any live daemon and asks again when it is told to come back.
+// agent is a caller that runs programs through any running daemon and retries failed requests.
 type agent struct {
 	c       *cluster
 	history *history
 	entry   *node
 	client  *client.Client
-	// beforeStep is called when a step begins, with its number from 0.
+	// beforeStep is called at the start of each step with its number, starting from 0.
 	beforeStep func(step int)
 	steps      int
 }
@@ -52,15 +52,15 @@
 	return &agent{c: c, history: newHistory(), entry: entry, client: c.client(entry), beforeStep: func(int) {}}
 }
 
-// stepTimeout bounds one step.
+// stepTimeout bounds one step with all its attempts.
 const stepTimeout = 3 * time.Minute
 
-// attemptTimeout bounds one attempt, so that a frozen entry is noticed.
+// attemptTimeout bounds one attempt, so that the agent leaves a frozen node.
 const attemptTimeout = 20 * time.Second
 
-var errStepTimeout = errors.New("step did not succeed in time")
+var errStepTimeout = errors.New("step did not succeed within its timeout")
 
-// step runs one request until it is answered or refused for good.
+// step repeats a request, on other nodes if necessary, until it succeeds, fails permanently or stepTimeout has passed.
 func (a *agent) step(attempt func(ctx context.Context) error) error {
 	a.beforeStep(a.steps)
 	a.steps++
@@ -81,7 +81,7 @@
 	return errStepTimeout
 }
 
-// switchNode goes on with the next live daemon, as a balancer would do.
+// switchNode connects to the next running node, as a load balancer would.
 func (a *agent) switchNode() {
 	if other := a.c.nextAlive(a.entry); other != nil {
 		a.entry = other
@@ -140,8 +140,6 @@
 	})
 }
 
-// Calls of the script.
-
 func modelCall(program string, sequence uint64) *rookpassv1.CallRequest {
 	return &rookpassv1.CallRequest{
 		ProgramId: program, Sequence: sequence, RequestId: fmt.Sprintf("m%d@%s", sequence, program),
@@ -163,7 +161,7 @@
 	}
 }
 
-// script runs one program with a tool, a sub-agent and an end.
+// script runs one program with model calls, tool calls and a sub-agent, and ends it.
 func (a *agent) script(key string) error {
 	program, err := a.start(key, 0)
 	if err != nil {
@@ -193,7 +191,7 @@
 	return a.end(program)
 }
 
-// readAll reads every program that was started, for the checker.
+// readAll reads all started programs and sub-agents into the history, for the checker.
 func (a *agent) readAll() error {
 	for _, id := range a.history.started {
 		if err := a.read(id); err != nil {
@@ -215,5 +213,5 @@
 	return root
 }
 
-// isNotRun tells whether an error promises that the request did not run.
+// isNotRun reports whether an error guarantees that the request did not run.
 func isNotRun(err error) bool { return verdict.Of(err).Verdict == verdict.NotRun }
--- a/internal/testing/faultmatrix/matrix_test.go
+++ b/internal/testing/faultmatrix/matrix_test.go
@@ -16,19 +16,19 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// fault is a column of the matrix. strike does the harm and returns what undoes it, which is called after
-// lasts.
+// fault is a row of the rendered matrix. inject injects it, given the program's owner and the node that the caller is
+// connected to, and returns a function that undoes it, which is called after duration.
 type fault struct {
 	name     string
 	duration time.Duration
 	inject   func(c *cluster, owner, entry *node) (undo func())
-	// harmless faults must not even make a request fail: planned stops.
+	// harmless is set for planned stops, which must not make any request fail.
 	harmless bool
 }
 
 func noUndo() {}
 
-// setAPIFault sets a fault of the object API for some nodes.
+// setAPIFault sets a fault of the object API for some nodes and returns a function that clears it.
 func setAPIFault(kind apitest.Fault, nodes ...*node) func() {
 	for _, n := range nodes {
 		n.fault.SetFault(kind)
@@ -40,6 +40,7 @@
 	}
 }
 
+// setAPIDelay sets the delay of the object API for all nodes and returns a function that resets it.
 func setAPIDelay(c *cluster, delay time.Duration) func() {
 	for _, n := range c.nodes {
 		n.fault.SetDelay(delay)
@@ -51,7 +52,7 @@
 	}
 }
 
-// normalDelay is the object API's, so that there is a time between every write and its answer.
+// normalDelay is the object API's default delay, so that faults can occur between a write and its response.
 const normalDelay = 3 * time.Millisecond
 
 var faults = []fault{
@@ -179,11 +180,11 @@
 	}},
 }
 
-// injectionOffsets are the times after a step's begin at which a fault strikes: before anything left, while records
-// are being written, while the backend server works, and later.
+// injectionOffsets are the times after the start of a step at which faults are injected: before anything is sent, while
+// records are being written, while the backend server is working, and later.
 var injectionOffsets = []time.Duration{0, 2 * time.Millisecond, 7 * time.Millisecond, 30 * time.Millisecond}
 
-// runCell runs a row with one fault at one moment and returns what did not hold.
+// runCell runs a scenario with a fault at one offset and returns the violations.
 func runCell(t *testing.T, seed uint64, r scenario, f fault, offset time.Duration) []violation {
 	c := newCluster(t, 3, seed)
 	setAPIDelay(c, normalDelay)
@@ -201,7 +202,7 @@
 	a.beforeStep = func(int) {}
 	<-time.After(settleTime)
 	if err := a.readAll(); err != nil {
-		violations = append(violations, violation{historyComplete, "programs can't be read: " + err.Error()})
+		violations = append(violations, violation{historyComplete, "reading programs failed: " + err.Error()})
 	}
 	if f.harmless && !r.kills {
 		violations = append(violations, failedRequests(a.history)...)
@@ -209,10 +210,11 @@
 	return append(violations, check(c, a.history)...)
 }
 
-// settleTime is what the cluster gets after the last fault to release memory.
+// settleTime is the time that the cluster gets after the last fault to release engine memory.
 const settleTime = 40 * time.Second
 
-// injectAtOwner strikes at the program's owner and undoes the fault after its time.
+// injectAtOwner injects a fault after an offset, given the program's owner at that time, and undoes it after its
+// duration.
 func (c *cluster) injectAtOwner(f fault, entry *node, h *history, offset time.Duration, undone chan struct{}) {
 	defer close(undone)
 	<-time.After(offset)
@@ -225,7 +227,7 @@
 	undo()
 }
 
-// failedRequests finds requests that a planned stop made fail in a way that the caller can't simply repeat.
+// failedRequests returns a violation for each request that failed in a way that the caller can't safely retry.
 func failedRequests(h *history) []violation {
 	k := &checker{}
 	for _, o := range h.outcomes {
@@ -241,7 +243,8 @@
 	return k.violations
 }
 
-// TestFaultMatrix strikes every fault at every step. With ROOKPASS_MATRIX=FILE it writes the matrix there.
+// TestFaultMatrix injects each fault in each scenario at each offset. With ROOKPASS_MATRIX=FILE it writes the matrix to
+// that file.
 func TestFaultMatrix(t *testing.T) {
 	var mu sync.Mutex
 	failed := map[string]int{}
@@ -261,7 +264,7 @@
 						}
 						mu.Unlock()
 						for _, v := range violations {
-							t.Errorf("at %v: %v", offset, v)
+							t.Errorf("fault at %v: %v", offset, v)
 						}
 					}
 				})
@@ -275,7 +278,7 @@
 	}
 }
 
-// render returns the matrix as a table: each cell held, failed or was not reached.
+// render returns the matrix as a Markdown table, in which each cell has passed, failed or was not run.
 func render(run, failed map[string]int) string {
 	var out strings.Builder
 	out.WriteString("| fault \\ step |")
--- a/internal/testing/faultmatrix/outage_test.go
+++ b/internal/testing/faultmatrix/outage_test.go
@@ -12,9 +12,9 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// TestOutageOfAnHour: the object API is away for an hour. A call under way keeps its answer until it is durable,
-// new work is refused as not run, nobody takes over, and afterwards the program goes on with its whole history.
-func TestOutageOfAnHour(t *testing.T) {
+// TestLongOutage: the object API is down for an hour. The answer of a call in progress is delayed until it is durable,
+// new calls are rejected as not run, there is no takeover, and afterwards the program has its complete history.
+func TestLongOutage(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
 		setAPIDelay(c, normalDelay)
@@ -35,7 +35,7 @@
 		_, err = a.client.Call(ctx, modelCall(id, 3), nil)
 		cancel()
 		assert.Equal(t, verdict.Of(err).Verdict, verdict.NotRun, "%v", err)
-		assert.Assert(t, time.Since(began) < time.Second, "a refusal is not held back: %v", time.Since(began))
+		assert.Assert(t, time.Since(began) < time.Second, "rejection took too long: %v", time.Since(began))
 		assert.Equal(t, c.ownerOf(id), owner)
 		undo()
 		_, err = a.call(modelCall(id, 2))
@@ -45,6 +45,6 @@
 		assert.NilError(t, a.readAll())
 		assert.Equal(t, len(a.history.programs[id].History), 3)
 		assert.Equal(t, len(check(c, a.history)), 0)
-		assert.Equal(t, c.ownerOf(id), owner, "the end of an outage is not taken for the death of everyone")
+		assert.Equal(t, c.ownerOf(id), owner, "ownership changed after the end of the outage")
 	})
 }
--- a/internal/testing/faultmatrix/scenarios_test.go
+++ b/internal/testing/faultmatrix/scenarios_test.go
@@ -9,14 +9,14 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// scenario is a scenario of the matrix: what is under way when the fault strikes.
+// scenario is one scenario of the matrix: what is in progress when the fault is injected.
 type scenario struct {
 	name string
-	// step is the number of the agent's step at whose begin the fault is set off.
+	// step is the number of the agent's step at which the fault is injected.
 	step int
-	// kills marks a row that kills a daemon by itself, so that calls may be cut whatever the fault.
+	// kills is set if the scenario itself kills a daemon, so that calls may fail with any fault.
 	kills bool
-	// drive does the row's work and returns what it saw broken.
+	// drive runs the scenario and returns the violations that it detected.
 	drive func(c *cluster, a *agent) []violation
 }
 
@@ -37,17 +37,17 @@
 	{name: "backend drain", step: 1, drive: backendDrain},
 }
 
-// runProgram runs the script; it must finish.
+// runProgram runs the script, which must succeed.
 func runProgram(_ *cluster, a *agent) []violation { return checkFinished(a.script("key")) }
 
 func checkFinished(err error) []violation {
 	if err == nil {
 		return nil
 	}
-	return []violation{{answerComplete, "the program did not finish: " + err.Error()}}
+	return []violation{{answerComplete, "program did not finish: " + err.Error()}}
 }
 
-// runTakeover runs the script while the program's owner is dead, so that the fault strikes its successor.
+// runTakeover runs the script and kills the program's owner at step 2, so that the fault affects its successor.
 func runTakeover(c *cluster, a *agent) []violation {
 	inject := a.beforeStep
 	a.beforeStep = func(step int) {
@@ -60,7 +60,7 @@
 	return checkFinished(a.script("key"))
 }
 
-// killAndRestartOwner kills a program's owner and boots it again soon.
+// killAndRestartOwner kills a program's owner and restarts it after 5 s.
 func (c *cluster) killAndRestartOwner(a *agent, key string) {
 	owner := c.ownerOf(a.history.started[key])
 	if owner == nil {
@@ -77,7 +77,7 @@
 	})
 }
 
-// runHandOver runs the script while the program's owner stops as planned.
+// runHandOver runs the script and starts a planned stop of the program's owner at step 2.
 func runHandOver(c *cluster, a *agent) []violation {
 	strike := a.beforeStep
 	a.beforeStep = func(step int) {
@@ -91,7 +91,7 @@
 	return checkFinished(a.script("key"))
 }
 
-// runPosts sends plain requests that must not be repeated, one after the other.
+// runPosts sends non-idempotent plain requests one after the other.
 func runPosts(c *cluster, a *agent) []violation {
 	k := &checker{c: c}
 	for i := range 4 {
@@ -118,17 +118,17 @@
 		case ran > 1:
 			k.addViolation(atMostOnce, "%s ran %d times", request.RequestId, ran)
 		case err == nil && ran == 0:
-			k.addViolation(answerComplete, "%s was answered but never ran", request.RequestId)
+			k.addViolation(answerComplete, "%s was answered but did not run", request.RequestId)
 		case last != nil && isNotRun(last) && ran > 0:
-			k.addViolation(refusalTrue, "%s ran, though refused: %v", request.RequestId, last)
+			k.addViolation(refusalTrue, "%s ran although it was rejected as not run: %v", request.RequestId, last)
 		case err != nil && isNotRun(err):
-			k.addViolation(answerComplete, "%s was given up: %v", request.RequestId, err)
+			k.addViolation(answerComplete, "%s failed: %v", request.RequestId, err)
 		}
 	}
 	return k.violations
 }
 
-// definitionWith returns the program definition with another bound, so that a change can be seen.
+// definitionWith returns the program definition with another MaxTurns, by which a change can be recognised.
 func definitionWith(maxTurns int64) *rookpassv1.Object {
 	return &rookpassv1.Object{
 		Key: &rookpassv1.ObjectKey{Kind: rookpassv1.Kind_KIND_DEFINITION, Name: "agent"},
@@ -139,16 +139,16 @@
 	}
 }
 
-// longestOutage is the longest time for which the faults keep the object API away; what is accepted before must be in
-// force that long after at the latest.
+// longestOutage is the longest time for which a fault keeps the object API unavailable. An accepted change must be in
+// force within longestOutage plus configTimeout.
 const longestOutage = 20 * time.Second
 
-// configurationChange has an operator change a definition, and follows the change to every daemon.
+// configurationChange changes a definition and checks that every daemon applies it.
 func configurationChange(c *cluster, a *agent) []violation {
 	k := &checker{c: c}
 	version, err := a.change(c, 77)
 	if err != nil {
-		return []violation{{configMonotonic, "change was not accepted: " + err.Error()}}
+		return []violation{{configMonotonic, "change not accepted: " + err.Error()}}
 	}
 	<-time.After(longestOutage + configTimeout)
 	for _, n := range c.nodes {
@@ -157,14 +157,14 @@
 		}
 		view := n.instance.daemon.Config().View()
 		if n.instance.daemon.Config().AsOf() < version || view.Definitions["agent"].MaxTurns != 77 {
-			k.addViolation(configMonotonic, "%s does not have version %d in force", n.name, version)
+			k.addViolation(configMonotonic, "%s has not applied version %d", n.name, version)
 		}
 	}
 	return k.violations
 }
 
-// change replaces the definition and returns the accepted version. An answer "may have run" is settled by
-// reading.
+// change replaces the definition and returns the accepted version. Each attempt first reads the definition, since the
+// one before may have run.
 func (a *agent) change(c *cluster, maxTurns int64) (uint64, error) {
 	var version uint64
 	err := a.step(func(ctx context.Context) error {
@@ -189,8 +189,7 @@
 	return version, err
 }
 
-// twoOperators race each other from the same version: one change is accepted, the other is told of the
-// conflict.
+// twoOperators makes two concurrent changes of the same version, of which at most one may be accepted.
 func twoOperators(c *cluster, a *agent) []violation {
 	k := &checker{c: c}
 	key, _ := definitionKey()
@@ -218,7 +217,7 @@
 	}
 	first, second := <-accepted, <-accepted
 	if first != 0 && second != 0 {
-		k.addViolation(configMonotonic, "two operators' changes of one version were both accepted")
+		k.addViolation(configMonotonic, "two concurrent changes of one version were both accepted")
 	}
 	<-time.After(longestOutage + configTimeout)
 	for _, n := range c.nodes {
@@ -226,16 +225,16 @@
 			continue
 		}
 		if got := n.instance.daemon.Config().View().Definitions["agent"].MaxTurns; got != first+second {
-			k.addViolation(configMonotonic, "%s has %d in force, accepted was %d", n.name, got, first+second)
+			k.addViolation(configMonotonic, "%s has MaxTurns %d in force, accepted was %d", n.name, got, first+second)
 		}
 	}
 	return k.violations
 }
 
-// drainTimeout is how soon a leaving backend server must get no new work.
+// drainTimeout is the time after which a draining backend server must not get new calls.
 const drainTimeout = 5 * time.Second
 
-// backendDrain takes an engine out of service under load and looks for work that it got later.
+// backendDrain drains an engine under load and checks that it gets no calls after drainTimeout.
 func backendDrain(c *cluster, a *agent) []violation {
 	k := &checker{c: c}
 	id, err := a.start("key", 0)
@@ -254,10 +253,10 @@
 		<-time.After(500 * time.Millisecond)
 	}
 	for _, served := range c.engines[0].Served() {
-		// What a frozen daemon had sent arrives when it thaws; docs/PROOFS.md names this window.
+		// Calls that a frozen daemon has sent arrive when it is thawed. docs/PROOFS.md documents this exception.
 		inWindow := served.Admitted.Equal(c.fabric.LastThaw())
 		if late := served.Admitted.Sub(drained); late > drainTimeout && !inWindow {
-			k.addViolation(drainingRespected, "%s was admitted %v after the drain", served.RequestID, late)
+			k.addViolation(drainingRespected, "%s was admitted %v after the start of draining", served.RequestID, late)
 		}
 	}
 	return k.violations
--- a/internal/testing/faultmatrix/smoke_test.go
+++ b/internal/testing/faultmatrix/smoke_test.go
@@ -12,7 +12,7 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// memoryLimit makes the collector work harder when many clusters run at once.
+// memoryLimit is the soft memory limit of the test process in bytes, for many clusters in parallel.
 const memoryLimit = 2 << 30
 
 func TestMain(m *testing.M) {
@@ -21,7 +21,7 @@
 	m.Run()
 }
 
-func TestProgramSurvivesItsOwner(t *testing.T) {
+func TestProgramSurvivesKillOfOwner(t *testing.T) {
 	testbubble.Run(t, func(t *testing.T) {
 		c := newCluster(t, 3, 1)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -44,7 +44,7 @@
 		c.kill(owner)
 		second, err := caller.CallUntil(ctx, call(2), nil)
 		assert.NilError(t, err)
-		t.Logf("served %v after the kill", time.Since(began))
+		t.Logf("second call served %v after the kill of the owner", time.Since(began))
 		assert.Equal(t, second.Final.PromptTokens, first.Final.PromptTokens+first.Final.CompletionTokens+1)
 	})
 }
