--- a/internal/testing/faultmatrix/checker_test.go
+++ b/internal/testing/faultmatrix/checker_test.go
@@ -11,7 +11,7 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// invariant is one of the ten things that must always hold.
+// invariant is a property that must always hold. It is part of the names of subtests.
 type invariant string
 
 const (
@@ -27,7 +27,7 @@
 	configMonotonic   invariant = "configuration is in force in seconds and never reverts"
 )
 
-// violation is a promise that did not hold.
+// violation is a violation of an invariant.
 type violation struct {
 	invariant invariant
 	detail    string
@@ -35,7 +35,7 @@
 
 func (v violation) String() string { return fmt.Sprintf("%s: %s", v.invariant, v.detail) }
 
-// checker compares what callers saw with what backend servers did and what rookpass says.
+// checker compares what callers observed with what backend servers executed and what rookpass reports.
 type checker struct {
 	c          *cluster
 	h          *history
@@ -46,7 +46,7 @@
 	k.violations = append(k.violations, violation{p, fmt.Sprintf(format, args...)})
 }
 
-// check looks at everything that a history alone can show. Programs must have been read.
+// check checks the invariants that can be checked from a history. The programs must have been read into it.
 func check(c *cluster, h *history) []violation {
 	k := &checker{c: c, h: h}
 	k.order()
@@ -59,16 +59,15 @@
 	return k.violations
 }
 
-// answerBytes is the length of every model answer: the engines give all the tokens that the definition asks
-// for.
+// answerBytes is the length of every model answer: the engines generate the maximum number of tokens of the definition.
 const answerBytes = 8 * 4
 
-// order: the stored calls are 1, 2, 3 …, and their effects came in that order.
+// order checks that the sequence numbers of stored calls are 1, 2, 3 …, and that their effects are in that order.
 func (k *checker) order() {
 	for id, program := range k.h.programs {
 		for i, turn := range program.History {
 			if turn.Sequence != uint64(i+1) {
-				k.addViolation(inOrder, "program %s has sequence %d at place %d", id, turn.Sequence, i+1)
+				k.addViolation(inOrder, "program %s has sequence %d at position %d", id, turn.Sequence, i+1)
 			}
 		}
 	}
@@ -80,14 +79,14 @@
 			continue
 		}
 		if sequence < last[program] {
-			k.addViolation(inOrder, "effect %d of %s came after %d", sequence, program, last[program])
+			k.addViolation(inOrder, "effect of call %d of %s came after that of call %d", sequence, program, last[program])
 		}
 		last[program] = sequence
 	}
 }
 
-// histories: every answered call stands in its program's history with the answer that the caller got, and
-// nothing else does.
+// histories checks that each answered call is in its program's history with the answer that the caller got, and that the
+// history has no calls of other programs and no duplicates.
 func (k *checker) histories() {
 	for _, o := range k.h.outcomes {
 		program := k.h.programs[o.program]
@@ -100,21 +99,21 @@
 			continue
 		}
 		if !bytes.Equal(program.History[i].Output, o.output) {
-			k.addViolation(historyComplete, "call %s was answered %q, the history says %q", o.call.RequestId, o.output, program.History[i].Output)
+			k.addViolation(historyComplete, "call %s was answered with %q, the history has %q", o.call.RequestId, o.output, program.History[i].Output)
 		}
 	}
 	for id, program := range k.h.programs {
 		seen := map[string]bool{}
 		for _, turn := range program.History {
 			if !strings.HasSuffix(turn.RequestId, "@"+id) || seen[turn.RequestId] {
-				k.addViolation(historyComplete, "program %s holds call %s", id, turn.RequestId)
+				k.addViolation(historyComplete, "history of program %s has foreign or duplicate call %s", id, turn.RequestId)
 			}
 			seen[turn.RequestId] = true
 		}
 	}
 }
 
-// budgets: what backend servers really spent for a program and its sub-agents is within the program's budget.
+// budgets checks that the tokens which backend servers spent for a program and its sub-agents are within its budget.
 func (k *checker) budgets() {
 	spent := map[string]int64{}
 	for _, engine := range k.c.engines {
@@ -128,51 +127,51 @@
 	}
 	for id, program := range k.h.programs {
 		if spent[id] > program.BudgetTokens || program.SpentTokens > program.BudgetTokens {
-			k.addViolation(withinBudget, "program %s: budget %d, spent %d, says %d", id, program.BudgetTokens, spent[id], program.SpentTokens)
+			k.addViolation(withinBudget, "program %s: budget %d, spent %d, reported %d", id, program.BudgetTokens, spent[id], program.SpentTokens)
 		}
 	}
 }
 
-// memory: no engine holds anything for an ended program.
+// memory checks that no engine has cache of an ended program.
 func (k *checker) memory() {
 	for i, engine := range k.c.engines {
 		for _, tag := range engine.HeldTags() {
 			if k.h.ended[rootProgram(tag)] {
-				k.addViolation(memoryFreed, "engine %d holds cache of ended program %s", i+1, tag)
+				k.addViolation(memoryFreed, "engine %d has cache of ended program %s", i+1, tag)
 			}
 		}
 	}
 }
 
-// answers: an answer that ran is not empty and is for its own request (the client has compared lengths).
+// answers checks that each answer is complete and belongs to its request. The client has already compared lengths.
 func (k *checker) answers() {
 	for _, o := range k.h.outcomes {
 		if !o.answered || o.verdict != verdict.Ran {
 			continue
 		}
 		if len(o.output) == 0 {
-			k.addViolation(answerComplete, "call %s was answered with nothing", o.call.RequestId)
+			k.addViolation(answerComplete, "call %s has an empty answer", o.call.RequestId)
 		}
 		if o.call.Kind == rookpassv1.CallKind_CALL_KIND_MODEL && len(o.output) != answerBytes {
 			k.addViolation(answerComplete, "call %s got %d of %d bytes", o.call.RequestId, len(o.output), answerBytes)
 		}
 		if o.call.Kind == rookpassv1.CallKind_CALL_KIND_TOOL && !bytes.Contains(o.output, o.call.Input) {
-			k.addViolation(answerComplete, "call %s got another call's answer %q", o.call.RequestId, o.output)
+			k.addViolation(answerComplete, "call %s got the answer of another call: %q", o.call.RequestId, o.output)
 		}
 	}
 }
 
-// refusals: a call that was only ever told "not run" has left no effect.
+// refusals checks that a call of which all attempts were rejected as not run has no effect.
 func (k *checker) refusals() {
 	for _, o := range k.h.outcomes {
 		refused := !o.answered && len(o.attemptErrors) > 0 && !slices.ContainsFunc(o.attemptErrors, func(err error) bool { return !isNotRun(err) })
 		if refused && k.ran(o.call.RequestId) > 0 {
-			k.addViolation(refusalTrue, "call %s was refused as not run, but ran", o.call.RequestId)
+			k.addViolation(refusalTrue, "call %s was rejected as not run but ran", o.call.RequestId)
 		}
 	}
 }
 
-// repeats: a call that must not be repeated has at most one effect; one answered "ran" has one.
+// repeats checks that each tool call has at most one effect, and exactly one if it was answered with the verdict Ran.
 func (k *checker) repeats() {
 	for _, o := range k.h.outcomes {
 		if o.call.Kind != rookpassv1.CallKind_CALL_KIND_TOOL {
@@ -183,12 +182,12 @@
 			k.addViolation(atMostOnce, "call %s ran %d times", o.call.RequestId, ran)
 		}
 		if o.answered && o.verdict == verdict.Ran && ran == 0 {
-			k.addViolation(answerComplete, "call %s was answered but never ran", o.call.RequestId)
+			k.addViolation(answerComplete, "call %s was answered but did not run", o.call.RequestId)
 		}
 	}
 }
 
-// ran counts the effects of a tool call.
+// ran returns the number of effects of a tool call.
 func (k *checker) ran(requestID string) int {
 	count := 0
 	for _, effect := range k.c.tool.Effects() {
@@ -199,10 +198,11 @@
 	return count
 }
 
-// configTimeout is how soon a change must be in force on every daemon that is not cut off altogether.
+// configTimeout is the time within which a change must be in force on every daemon that is not isolated.
 const configTimeout = 10 * time.Second
 
-// watchConfig samples every live daemon's configuration until stopped, and reports a revision that fell.
+// watchConfig samples the configuration revision of every running daemon until stopped, and returns a violation for each
+// decrease.
 func watchConfig(c *cluster) (stop func() []violation) {
 	done := make(chan struct{})
 	result := make(chan []violation)
@@ -217,7 +217,7 @@
 				}
 				revision := l.daemon.Config().View().Revision
 				if revision < highest[l] {
-					k.addViolation(configMonotonic, "%s went from revision %d back to %d", n.name, highest[l], revision)
+					k.addViolation(configMonotonic, "%s reverted from revision %d to %d", n.name, highest[l], revision)
 				}
 				highest[l] = max(highest[l], revision)
 			}
--- a/internal/testing/faultmatrix/guards_test.go
+++ b/internal/testing/faultmatrix/guards_test.go
@@ -16,7 +16,7 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// guardCase is a promise with the protection that keeps it and a course of events in which it matters.
+// guardCase is an invariant, the guard that protects it, and a scenario that violates it if the guard is disabled.
 type guardCase struct {
 	invariant invariant
 	guard     guard.Guard
@@ -27,12 +27,12 @@
 	{inOrder, guard.SequenceCheck, func(_ *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
 		_, _ = a.call(modelCall(id, 1))
-		_, _ = a.call(modelCall(id, 3)) // Out of order: must be refused.
+		_, _ = a.call(modelCall(id, 3)) // out of order, must be rejected
 		return nil
 	}},
 	{historyComplete, guard.Seal, func(c *cluster, a *agent) []violation {
-		// Its peers can't reach the owner and take over, while callers and the object API can, and its watch is
-		// late: it goes on making calls until its next renewal tells it.
+		// The owner's peers can't reach it and take over, while callers and the object API can reach it. Its watch is
+		// blind, so it continues to make calls until its next renewal.
 		id, _ := a.start("key", 0)
 		owner := c.ownerOf(id)
 		if a.entry != owner {
@@ -48,7 +48,7 @@
 		}
 		for sequence := uint64(1); sequence <= 60; sequence++ {
 			if _, err := a.call(modelCall(id, sequence)); err != nil {
-				break // Without the seal, the new owner does not know of the calls before.
+				break // without the seal, the new owner does not know the earlier calls
 			}
 		}
 		return nil
@@ -76,11 +76,11 @@
 	}},
 	{historyComplete, guard.DurableAnswers, func(c *cluster, a *agent) []violation {
 		id, _ := a.start("key", 0)
-		_, _ = a.call(modelCall(id, 1)) // Borrows from the organisation's budget.
+		_, _ = a.call(modelCall(id, 1)) // borrows from the organisation's budget
 		setAPIFault(apitest.Down, c.nodes...)
 		_, _ = a.call(modelCall(id, 2))
 		c.kill(c.ownerOf(id))
-		<-time.After(time.Second) // A request that a peer was relaying fails in the outage too.
+		<-time.After(time.Second) // so that a request that a peer is relaying fails within the outage too
 		for _, n := range c.nodes {
 			n.fault.SetFault(apitest.None)
 		}
@@ -118,7 +118,7 @@
 		return failedRequests(a.history)
 	}},
 	{configMonotonic, guard.MonotonicConfig, func(c *cluster, _ *agent) []violation {
-		// A daemon that has a change in force loses its watch and is given a list from before.
+		// A daemon that has applied a change loses its watch and gets an older list.
 		watched := watchConfig(c)
 		before, _ := c.store.List(context.Background(), "")
 		c.put(definitionWith(77))
@@ -130,31 +130,31 @@
 	}},
 }
 
-// TestCheckerCatches switches each guard off and expects the checker to say which promise broke; with the
-// guard on, the same course of events breaks nothing.
-func TestCheckerCatches(t *testing.T) {
+// TestCheckerDetectsDisabledGuards runs each case with its guard enabled and expects no violations, and again with the
+// guard disabled and expects the checker to report the invariant.
+func TestCheckerDetectsDisabledGuards(t *testing.T) {
 	for _, g := range guardCases {
 		t.Run(fmt.Sprintf("%s/guard %d", g.invariant, g.guard), func(t *testing.T) {
 			var protected, unprotected []violation
 			testbubble.Run(t, func(t *testing.T) { protected = runCase(t, g) })
-			assert.Equal(t, len(protected), 0, "with the guard on: %v", protected)
+			assert.Equal(t, len(protected), 0, "violations with the guard enabled: %v", protected)
 			restore := guard.Disable(g.guard)
 			defer restore()
 			testbubble.Run(t, func(t *testing.T) { unprotected = runCase(t, g) })
 			caught := slices.ContainsFunc(unprotected, func(v violation) bool { return v.invariant == g.invariant })
-			assert.Assert(t, caught, "the checker did not notice; it found %v", unprotected)
+			assert.Assert(t, caught, "invariant not reported with the guard disabled; got %v", unprotected)
 		})
 	}
 }
 
-// runCase runs a runCase of events and checks everything afterwards.
+// runCase runs a case in a new cluster and checks all invariants afterwards.
 func runCase(t *testing.T, g guardCase) []violation {
 	c := newCluster(t, 3, 1)
 	a := newAgent(c, c.nodes[0])
 	violations := g.run(c, a)
 	<-time.After(settleTime)
 	if err := a.readAll(); err != nil {
-		violations = append(violations, violation{historyComplete, "programs can't be read: " + err.Error()})
+		violations = append(violations, violation{historyComplete, "reading programs failed: " + err.Error()})
 	}
 	return append(violations, check(c, a.history)...)
 }
--- a/internal/testing/faultmatrix/measure_test.go
+++ b/internal/testing/faultmatrix/measure_test.go
@@ -14,18 +14,19 @@
 	"github.com/rookpass/rookpass/internal/testing/testbubble"
 )
 
-// skipUnlessMeasuring skips a test that only prints figures, unless ROOKPASS_MEASURE is set. The figures are in virtual
-// time: they hold timers, messages and the object API's delay (3 ms), but no processor time.
+// skipUnlessMeasuring skips a measurement unless ROOKPASS_MEASURE is set. Measurements are in virtual time: they include
+// timers, messages and the delay of the object API, but no CPU time.
 func skipUnlessMeasuring(t *testing.T) {
 	t.Helper()
 	if os.Getenv("ROOKPASS_MEASURE") == "" {
-		t.Skip("set ROOKPASS_MEASURE=1 to print the figures")
+		t.Skip("set ROOKPASS_MEASURE=1 to run measurements")
 	}
 }
 
+// repeats is the number of runs per measurement, each with another seed.
 const repeats = 40
 
-// quantiles returns the median, the 99th percentile (nearest rank) and the largest value.
+// quantiles formats the median, the 99th percentile (nearest rank) and the maximum of values, which it sorts.
 func quantiles(values []time.Duration) string {
 	slices.Sort(values)
 	at := func(q float64) time.Duration { return values[min(len(values)-1, int(q*float64(len(values))))] }
@@ -33,7 +34,7 @@
 		values[len(values)-1].Round(time.Millisecond), len(values))
 }
 
-// TestMeasureTakeover prints the time from a kill to the first call served, and from a planned stop.
+// TestMeasureTakeover prints the time from the kill, freeze or planned stop of an owner to the first served call.
 func TestMeasureTakeover(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, f := range faults {
@@ -64,7 +65,7 @@
 	}
 }
 
-// TestMeasureConfiguration prints how long a change takes until it is in force on every daemon.
+// TestMeasureConfiguration prints the time until a change is in force on all daemons.
 func TestMeasureConfiguration(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, cut := range []bool{false, true} {
@@ -91,7 +92,7 @@
 	}
 }
 
-// apiCalls sums the requests that all daemons sent to the object API.
+// apiCalls returns the total requests of all daemons to the object API.
 func (c *cluster) apiCalls() (reads, writes int) {
 	for _, n := range c.nodes {
 		r, w := n.fault.Counts()
@@ -100,7 +101,7 @@
 	return reads, writes
 }
 
-// TestMeasureObjectAPI prints object API calls per daemon and second: idle, under load and in a takeover.
+// TestMeasureObjectAPI prints the object API requests per daemon and second when idle, under load and in a takeover.
 func TestMeasureObjectAPI(t *testing.T) {
 	skipUnlessMeasuring(t)
 	const span, loadSpan = 60 * time.Second, 20 * time.Second
@@ -136,12 +137,12 @@
 	}
 }
 
-// loadFor makes model calls at a rate over all daemons for a time and returns how many were answered.
+// loadFor makes model calls at a rate per second, spread over all daemons, and returns the number of calls.
 func loadFor(c *cluster, rate int, span time.Duration) int {
 	answered := make(chan int)
 	for i := range rate {
 		go func() {
-			// Each agent makes one call a second, spread over the second.
+			// Each agent makes one call per second; the agents start spread over one second.
 			<-time.After(time.Second * time.Duration(i) / time.Duration(rate))
 			a := newAgent(c, c.nodes[i%len(c.nodes)])
 			count := 0
@@ -161,7 +162,7 @@
 	return total
 }
 
-// TestMeasureDurability prints what the journal adds to a call when the object API takes 50 ms.
+// TestMeasureDurability prints the latency that the journal adds to a call if the object API has a delay of 50 ms.
 func TestMeasureDurability(t *testing.T) {
 	skipUnlessMeasuring(t)
 	for _, rate := range []int{1, 50, 500} {
@@ -205,5 +206,5 @@
 	}
 }
 
-// engineTime is what the engine takes for an answer of 8 tokens.
+// engineTime is the engine's time for an answer of 8 tokens.
 const engineTime = 20*time.Millisecond + 7*10*time.Millisecond
