--- a/cmd/rookpass-measure/main.go
+++ b/cmd/rookpass-measure/main.go
@@ -1,6 +1,6 @@
-// Command rookpass-measure measures what rookpass adds to a call, in one process over loopback: two daemons,
-// a model engine and an object API without delays of their own. Each figure stands beside the same calls
-// straight to the engine, made in turn in the same run.
+// Command rookpass-measure measures the overhead of rookpass per call. It runs two daemons, a model engine and an object
+// API without artificial delays in one process over loopback, and compares calls through the daemons with direct calls
+// to the engine. Blocks of calls of each variant alternate within a run.
 package main
 
 import (
@@ -35,8 +35,8 @@
 )
 
 type options struct {
-	Calls    int `long:"calls" default:"3000" description:"calls for each figure"`
-	Programs int `long:"programs" default:"20000" description:"idle programs for the memory figure"`
+	Calls    int `long:"calls" default:"3000" description:"calls for each variant"`
+	Programs int `long:"programs" default:"20000" description:"idle programs for the memory measurement"`
 	Port     int `long:"port" default:"7800" description:"first of 20 loopback ports"`
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// bench is two daemons and their surroundings.
+// bench holds two daemons, their clients and the engine that both use.
 type bench struct {
 	options
 	secret  string
@@ -141,10 +141,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("daemons are not ready: %v, %v", b.daemons[0].Ready(), b.daemons[1].Ready())
+	return fmt.Errorf("daemons not ready within 30 s: %v, %v", b.daemons[0].Ready(), b.daemons[1].Ready())
 }
 
-// startProgram starts a program that the given daemon holds.
+// startProgram starts a program that the daemon with the given index owns. It tries new keys until one maps there.
 func (b *bench) startProgram(owner int, key string) (string, error) {
 	for i := 0; ; i++ {
 		ctx := b.clients[0].Context(context.Background())
@@ -164,17 +164,17 @@
 		Kind: rookpassv1.CallKind_CALL_KIND_MODEL, Target: "m", Input: []byte("hi"), MaxTokens: 1}
 }
 
-// callsPerProgram keeps histories short, so that the figures are about the path and not the prompt.
+// callsPerProgram limits the length of histories, so that prompt sizes do not affect the results.
 const callsPerProgram = 20
 
-// measureLatency measures calls straight to the engine, through the program's owner, and through another daemon, in
-// turn, a block of calls at a time.
+// measureLatency measures direct calls to the engine, calls through the program's owner and calls through another
+// daemon, in alternating blocks, and prints a table.
 func (b *bench) measureLatency() error {
 	variants := []*variant{
-		{name: "straight to the engine", call: b.direct},
-		{name: "entry is the owner", path: &daemonPath{key: "own"}},
-		{name: "one forward hop", path: &daemonPath{owner: 1, key: "hop"}},
-		{name: "one forward hop, not waiting for the journal", path: &daemonPath{owner: 1, key: "loose"}, skipDurability: true},
+		{name: "direct call to the engine", call: b.direct},
+		{name: "through the owner", path: &daemonPath{key: "own"}},
+		{name: "one forwarding hop", path: &daemonPath{owner: 1, key: "hop"}},
+		{name: "one forwarding hop, without waiting for the journal", path: &daemonPath{owner: 1, key: "loose"}, skipDurability: true},
 	}
 	for block := range b.Calls / callsPerProgram {
 		for _, w := range variants {
@@ -184,38 +184,38 @@
 		}
 	}
 	base := variants[0]
-	fmt.Println("| way | p50 | p99 | added p50 | added p99 | CPU per call | allocations per call |")
+	fmt.Println("| variant | p50 | p99 | added p50 | added p99 | CPU per call | allocations per call |")
 	fmt.Println("|---|---|---|---|---|---|---|")
 	for _, w := range variants {
 		p50, p99 := w.percentile(50), w.percentile(99)
 		fmt.Printf("| %s | %v | %v | %v | %v | %v | %d |\n", w.name, p50, p99, p50-base.percentile(50), p99-base.percentile(99),
 			(w.cpu / time.Duration(b.Calls)).Round(time.Microsecond), w.mallocs/uint64(b.Calls))
 	}
-	fmt.Println("\nCPU and allocations are the whole process's during those calls: caller, daemons, engine and object API.")
+	fmt.Println("\nCPU and allocations are those of the whole process during the calls: caller, daemons, engine and object API.")
 	return nil
 }
 
-// daemonPath is a way over daemons: the first is the entry, holder is the program's owner.
+// daemonPath is a path through the daemons. Calls enter at daemon 0; owner is the index of the program's owner.
 type daemonPath struct {
 	owner   int
 	key     string
 	program string
 }
 
-// variant is one variant to make a call, with its figures.
+// variant is one way to make a call, with its measurements.
 type variant struct {
 	name string
-	// call makes one call; without it the way is through daemons.
+	// call makes one direct call. It is nil if path is set.
 	call func(i int) error
 	path *daemonPath
-	// skipDurability answers before the records are durable, to show the journal's share.
+	// skipDurability answers before the records are durable, which shows the journal's share of the latency.
 	skipDurability bool
 	times          *hdrhistogram.Histogram
 	cpu            time.Duration
 	mallocs        uint64
 }
 
-// runBlock makes some calls of one way. What prepares them is not measured.
+// runBlock makes callsPerProgram calls of one variant. Starting the program is not measured.
 func (b *bench) runBlock(v *variant, block int) error {
 	if v.times == nil {
 		v.times = hdrhistogram.New(1000, maxDuration, 3)
@@ -253,7 +253,7 @@
 	return err
 }
 
-// maxDuration is the largest time that the histograms hold, in nanoseconds.
+// maxDuration is the largest value that the histograms record, in nanoseconds.
 const maxDuration = int64(10 * time.Second)
 
 func (w *variant) percentile(percentile float64) time.Duration {
@@ -266,7 +266,7 @@
 	return err
 }
 
-// measureMemory measures what an idle program of one turn takes.
+// measureMemory measures and prints the heap size per idle program.
 func (b *bench) measureMemory() error {
 	before := heapBytes()
 	for i := range b.Programs {
--- a/cmd/rookpass-plot/main.go
+++ b/cmd/rookpass-plot/main.go
@@ -1,5 +1,5 @@
-// Command rookpass-plot draws what the journal of the users' bench holds, or prints how busy backend servers were by
-// the logs of front daemons.
+// Command rookpass-plot plots the benchmark runs in a journal folder, or prints the load of backend servers from the
+// logs of front daemons.
 package main
 
 import (
@@ -15,17 +15,17 @@
 )
 
 type options struct {
-	Journal string   `long:"journal" default:"journal" description:"folder of the runs"`
-	Out     string   `long:"out" default:"target/plots" description:"folder that takes the plots"`
-	Command []string `long:"command" default:"score" default:"hunt" description:"runs to draw, by what was asked for"`
-	Log     string   `long:"log" description:"file with the logs of all front daemons of a run: print the turns under way on each server"`
-	StepMS  int      `long:"step-ms" default:"500" description:"time between two lines of that table, in milliseconds"`
+	Journal string   `long:"journal" default:"journal" description:"folder with the runs"`
+	Out     string   `long:"out" default:"target/plots" description:"folder to write the plots to"`
+	Command []string `long:"command" default:"score" default:"hunt" description:"runs to plot, by the benchmark command that made them"`
+	Log     string   `long:"log" description:"file with the logs of all front daemons of a run: print the active turns on each server instead"`
+	StepMS  int      `long:"step-ms" default:"500" description:"time between two lines of the --log table, in milliseconds"`
 }
 
 func main() {
 	var opts options
 	if _, err := flags.Parse(&opts); err != nil {
-		os.Exit(2) // the parser has said why
+		os.Exit(2) // the parser has printed the error
 	}
 	if err := run(opts); err != nil {
 		fmt.Fprintln(os.Stderr, "rookpass-plot:", err)
@@ -63,13 +63,13 @@
 
 func printLoad(name string, step time.Duration) error {
 	if step <= 0 {
-		return fmt.Errorf("--step-ms must be above 0")
+		return fmt.Errorf("--step-ms must be greater than 0")
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened read-only
 	turns, err := loadlog.Read(file)
 	if err != nil {
 		return err
