--- a/cmd/rookpass-node/main.go
+++ b/cmd/rookpass-node/main.go
@@ -1,5 +1,5 @@
-// Command rookpass-node is a daemon of rookpass on the users' platform: front takes requests, store keeps
-// turns on a disk.
+// Command rookpass-node runs a rookpass daemon on the users' platform: a front daemon, which serves requests, or a store
+// daemon, which keeps turns on disk. It also checks settings and shows a daemon's status.
 package main
 
 import (
@@ -23,20 +23,20 @@
 )
 
 type options struct {
-	LogLevel string `long:"log-level" default:"info" description:"least level of the lines written"`
-	Address  string `long:"address" description:"show: a daemon's metrics address, IP:port"`
-	Program  string `long:"program" description:"show: also the turns of a program that a store daemon keeps"`
-	// Organisation is empty where callers need no key.
-	Organisation string `long:"organisation" description:"show: the organisation that the program belongs to"`
+	LogLevel string `long:"log-level" default:"info" description:"minimum level of log lines"`
+	Address  string `long:"address" description:"show: metrics address of the daemon, IP:port"`
+	Program  string `long:"program" description:"show: also the turns of this program that a store daemon keeps"`
+	// Organisation is empty if callers need no key.
+	Organisation string `long:"organisation" description:"show: organisation of the program"`
 	Args         struct {
-		Verb string `positional-arg-name:"verb" description:"front or store to run a daemon, check to check the settings, show to see what is in force on a daemon"`
+		Verb string `positional-arg-name:"verb" description:"front or store runs a daemon, check validates and prints the settings, show prints the status of a daemon"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 func main() {
 	var opts options
 	if _, err := flags.Parse(&opts); err != nil {
-		os.Exit(2) // the parser has said why
+		os.Exit(2) // the parser has printed the error
 	}
 	if err := run(opts); err != nil {
 		fmt.Fprintln(os.Stderr, "rookpass-node:", err)
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGHUP) // until the daemon listens for it
+	signal.Ignore(syscall.SIGHUP) // its default action would end the process before the daemon handles it
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	switch opts.Args.Verb {
@@ -68,10 +68,10 @@
 	}
 }
 
-// showTimeout bounds the wait for a daemon's status.
+// showTimeout bounds the request for a daemon's status.
 const showTimeout = 5 * time.Second
 
-// show prints what is in force on a daemon.
+// show prints the status of the daemon at a metrics address as indented JSON.
 func show(out io.Writer, address, organisation, program string) error {
 	if address == "" {
 		return errors.New("show needs --address")
@@ -83,7 +83,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answered with status %d", address, resp.StatusCode)
+		return fmt.Errorf("%s: unexpected status %d", address, resp.StatusCode)
 	}
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
--- a/cmd/rookpass-node/main_test.go
+++ b/cmd/rookpass-node/main_test.go
@@ -24,7 +24,7 @@
 	assert.ErrorContains(t, show(&out, "127.0.0.1:1", "", ""), "refused")
 }
 
-func TestUnknownVerb(t *testing.T) {
+func TestMissingSettings(t *testing.T) {
 	t.Setenv("ROOKPASS_NODE_FILE", "")
 	assert.ErrorContains(t, run(options{}), "ROOKPASS_NODE_FILE")
 }
--- a/cmd/rookpass-soak/main.go
+++ b/cmd/rookpass-soak/main.go
@@ -1,4 +1,4 @@
-// Command rookpass-soak plays random faults on real daemons and checks the promises.
+// Command rookpass-soak runs real daemons, injects random faults and checks the invariants.
 package main
 
 import (
@@ -14,23 +14,23 @@
 )
 
 type options struct {
-	Binary  string `long:"binary" default:"target/rookpass-node" description:"the daemons' program"`
-	Seed    uint64 `long:"seed" description:"first seed; 0 takes one from the clock"`
-	Runs    int    `long:"runs" default:"1" description:"how many seeds to play"`
-	Plan    string `long:"plan" description:"a file with one plan to replay"`
-	Fronts  int    `long:"fronts" default:"3" description:"front daemons"`
-	Stores  int    `long:"stores" default:"3" description:"store daemons"`
-	Servers int    `long:"servers" default:"6" description:"backend servers"`
-	Callers int    `long:"callers" default:"8" description:"callers that run programs at the same time"`
-	Seconds int    `long:"seconds" default:"10" description:"length of the faults of a run"`
+	Binary  string `long:"binary" default:"target/rookpass-node" description:"rookpass-node binary"`
+	Seed    uint64 `long:"seed" description:"first seed; 0 derives one from the clock"`
+	Runs    int    `long:"runs" default:"1" description:"number of runs, each with the next seed"`
+	Plan    string `long:"plan" description:"file with a plan to replay"`
+	Fronts  int    `long:"fronts" default:"3" description:"number of front daemons"`
+	Stores  int    `long:"stores" default:"3" description:"number of store daemons"`
+	Servers int    `long:"servers" default:"6" description:"number of backend servers"`
+	Callers int    `long:"callers" default:"8" description:"number of concurrent callers"`
+	Seconds int    `long:"seconds" default:"10" description:"time during which faults are injected, in seconds"`
 	Network int    `long:"network" default:"11" description:"second byte of the daemons' loopback addresses"`
-	Keep    string `long:"keep" description:"folder that keeps the logs of failed runs"`
+	Keep    string `long:"keep" description:"folder to move the logs of failed runs to"`
 }
 
 func main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		os.Exit(2) // the parser has said why
+		os.Exit(2) // the parser has printed the error
 	}
 	failed, err := run(o)
 	if err != nil {
@@ -59,19 +59,19 @@
 		}
 		fmt.Printf("seed %d: %d faults, %.0f s, %v\n", plan.Seed, len(plan.Faults), time.Since(began).Seconds(), result.Counts)
 		if len(result.Violations) == 0 {
-			_ = os.RemoveAll(dir) // only its space is lost
+			_ = os.RemoveAll(dir) // a leftover folder only takes space
 			continue
 		}
 		failed++
 		for _, text := range result.Violations {
-			fmt.Println("  broken:", text)
+			fmt.Println("  violation:", text)
 		}
 		fmt.Println("  plan:", plan)
 		if err := keepLogs(o.Keep, dir, plan); err != nil {
 			return failed, err
 		}
 	}
-	fmt.Printf("%d runs, %d with a broken promise\n", len(plans), failed)
+	fmt.Printf("%d runs, %d with violations\n", len(plans), failed)
 	return failed, nil
 }
 
@@ -96,7 +96,7 @@
 	return list, nil
 }
 
-// keepLogs moves a failed run's folder to where logs are kept; without such a place it says where they lie.
+// keepLogs moves a failed run's folder into the folder to, if that is set, and prints where the logs are.
 func keepLogs(to, dir string, plan soak.Plan) error {
 	if to == "" {
 		fmt.Println("  logs:", dir)
--- a/cmd/rookpass-standins/main.go
+++ b/cmd/rookpass-standins/main.go
@@ -1,5 +1,5 @@
-// Command rookpass-standins serves small stand-ins of the outside systems on loopback, for development: object
-// API, VM list, model engines, tool services, plain services and weight store.
+// Command rookpass-standins serves simple stand-ins for the external systems, for development: object API, VM list,
+// model engines, tool services, plain services and weight store.
 package main
 
 import (
@@ -19,17 +19,16 @@
 type options struct {
 	ObjectAPI    string        `long:"object-api" description:"IP:port of the object API"`
 	VMList       string        `long:"vm-list" description:"IP:port of the VM list"`
-	Engines      []string      `long:"engine" description:"IP:port of a model engine; may be given again"`
-	Services     []string      `long:"service" description:"IP:port of a tool or plain service; may be given again"`
+	Engines      []string      `long:"engine" description:"IP:port of a model engine; may be repeated"`
+	Services     []string      `long:"service" description:"IP:port of a tool or plain service; may be repeated"`
 	WeightStore  string        `long:"weight-store" description:"IP:port of the weight store"`
-	FirstToken   time.Duration `long:"first-token" default:"20ms" description:"engines' delay before the first token"`
-	NextToken    time.Duration `long:"next-token" default:"5ms" description:"engines' delay between tokens"`
-	AnswerTokens int64         `long:"answer-tokens" default:"16" description:"length of engines' answers"`
-	Concurrency  int           `long:"concurrency" default:"256" description:"calls that an engine runs at once"`
-	ServiceDelay time.Duration `long:"service-delay" default:"5ms" description:"time that a service takes"`
+	FirstToken   time.Duration `long:"first-token" default:"20ms" description:"delay of engines before the first token"`
+	NextToken    time.Duration `long:"next-token" default:"5ms" description:"delay of engines between tokens"`
+	AnswerTokens int64         `long:"answer-tokens" default:"16" description:"length of the answers of engines, in tokens"`
+	Concurrency  int           `long:"concurrency" default:"256" description:"maximum number of concurrent calls of an engine"`
+	ServiceDelay time.Duration `long:"service-delay" default:"5ms" description:"duration of a request to a service"`
 }
 
-// weightBytesPerSecond is the weight store's rate.
 const weightBytesPerSecond = 1 << 20
 
 func main() {
@@ -55,7 +54,7 @@
 	}
 }
 
-// handlers returns what to serve, by address.
+// handlers returns the handlers to serve, by address.
 func (o options) handlers() map[string]fasthttp.RequestHandler {
 	handlers := map[string]fasthttp.RequestHandler{}
 	if o.ObjectAPI != "" {
--- a/cmd/rookpass/main.go
+++ b/cmd/rookpass/main.go
@@ -1,4 +1,4 @@
-// Command rookpass is the command line of operators and callers.
+// Command rookpass is the command-line client for operators and callers.
 package main
 
 import (
--- a/cmd/rookpassd/main.go
+++ b/cmd/rookpassd/main.go
@@ -1,4 +1,4 @@
-// Command rookpassd is the rookpass daemon.
+// Command rookpassd runs the rookpass daemon.
 package main
 
 import (
