--- a/deploy/days/draw/main.go
+++ b/deploy/days/draw/main.go
@@ -1,5 +1,5 @@
-// Command draw prints a day of the users' bench with troubles drawn by a seed, for hunts of our own: the bench's
-// own hunts mix only the troubles that a site names, while any kind may come.
+// Command draw prints a random day (a test scenario) for the users' benchmark, generated from a seed. The random
+// scenarios of the benchmark itself only have the events that a site lists; these may have events of any kind.
 package main
 
 import (
@@ -13,15 +13,15 @@
 )
 
 type options struct {
-	Seed    uint64  `long:"seed" default:"1" description:"seed of the draw"`
-	Seconds float64 `long:"seconds" default:"30" description:"time within which troubles begin"`
-	Faults  int     `long:"faults" default:"6" description:"how many faults"`
-	Grown   bool    `long:"grown" description:"also the troubles that only the grown sites know"`
-	Plans   int     `long:"plans" default:"3" description:"how many pieces of planned work"`
-	Outages bool    `long:"outages" description:"a day of outages of the platform's store instead: changes queue up and are acknowledged at its return, daemons are killed meanwhile, servers leave right after"`
+	Seed    uint64  `long:"seed" default:"1" description:"random seed"`
+	Seconds float64 `long:"seconds" default:"30" description:"time within which events start, in seconds"`
+	Faults  int     `long:"faults" default:"6" description:"number of faults"`
+	Grown   bool    `long:"grown" description:"also generate the faults that only grown sites support"`
+	Plans   int     `long:"plans" default:"3" description:"number of planned operations"`
+	Outages bool    `long:"outages" description:"generate a day of outages of the platform's store instead: changes queue up until its return, daemons are killed meanwhile, and servers are removed right after"`
 }
 
-// template is one kind with the ranges of its figures; a zero range leaves a figure out.
+// template is a kind of event with the ranges of its random parameters. A parameter with a zero range is left out.
 type template struct {
 	kind, on              string
 	variants              []string
@@ -34,7 +34,7 @@
 	smallShare    = [2]float64{0.1, 0.4}
 )
 
-// faults and plans are what the bench can do to a deployment of these sites.
+// faults are the faults that the benchmark can inject on every site.
 var faults = []template{
 	{kind: "burst", x: [2]float64{1.4, 2.2}, length: shortDuration},
 	{kind: "give_up", share: smallShare, length: shortDuration},
@@ -67,13 +67,14 @@
 	{kind: "after_ack_wipe", on: "store", count: 1, variants: []string{"", "oldest"}, length: shortDuration},
 }
 
-// extendedFaults come only on the grown sites.
+// extendedFaults are the additional faults that grown sites support.
 var extendedFaults = []template{
 	{kind: "idle_race", share: smallShare, x: [2]float64{100, 500}, length: shortDuration},
 	{kind: "srv_flap", share: [2]float64{0.05, 0.2}, gap: [2]float64{0.5, 2}, length: shortDuration},
 	{kind: "srv_lying_health", share: [2]float64{0.05, 0.2}, variants: []string{"errors", "hang", "reset", "bad"}, length: shortDuration},
 }
 
+// plans are the planned operations that the benchmark can perform.
 var plans = []template{
 	{kind: "release", share: [2]float64{0.2, 0.6}, x: [2]float64{1, 2}, gap: [2]float64{0.5, 1.5}},
 	{kind: "scale_in", share: [2]float64{0.05, 0.2}, variants: []string{"", "spot", "reclaim"}, length: shortDuration},
@@ -89,6 +90,7 @@
 	{kind: "retire", length: [2]float64{6, 9}, variants: []string{"", "wipe"}},
 }
 
+// closings are the events at the end of a day; empty means none.
 var closings = []string{
 	"",
 	`{ kind = "power_off_all", down_s = 1.0, how = "all" }`,
@@ -103,7 +105,7 @@
 func main() {
 	var opts options
 	if _, err := flags.Parse(&opts); err != nil {
-		os.Exit(2) // the parser has said why
+		os.Exit(2) // the parser has printed the error
 	}
 	if opts.Outages {
 		fmt.Print(generateOutageDay(opts))
@@ -131,7 +133,7 @@
 	return b.String() + randomClosing(random)
 }
 
-// randomClosing draws a day's end.
+// randomClosing returns the line with a random closing event, or an empty string.
 func randomClosing(random *rand.Rand) string {
 	event := closings[random.IntN(len(closings))]
 	if event == "" {
@@ -140,7 +142,7 @@
 	return fmt.Sprintf("closing = %s\n", event)
 }
 
-// randomEvent draws one trouble.
+// randomEvent returns a random event from the given templates as an entry of a TOML list.
 func randomEvent(random *rand.Rand, from []template, seconds float64) string {
 	t := from[random.IntN(len(from))]
 	text := fmt.Sprintf("  { at = %.1f, kind = %q", 1+(seconds-1)*random.Float64(), t.kind)
--- a/deploy/days/draw/outages.go
+++ b/deploy/days/draw/outages.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Times of a day of outages, in seconds.
+// Times of a day with outages, in seconds.
 const (
-	// changeInterval is the time between two changes of the configuration; those that fall into an outage are
-	// acknowledged together at its end.
+	// changeInterval is the time between two configuration changes. Changes during an outage are acknowledged together
+	// at its end.
 	changeInterval = 2.0
-	// outageGap is the least time between the end of one outage and the start of the next.
+	// outageGap is the minimum time between the end of an outage and the start of the next.
 	outageGap = 5.0
 )
 
-// outageVariants are the ways in which the platform's store goes away.
+// outageVariants are the variants of an outage of the platform's store.
 var outageVariants = []string{"silent", "busy", "reset", "silent lapse", "busy lapse", "reset lapse"}
 
-// killEvents are what ends daemons during an outage.
+// killEvents are the events that kill daemons during an outage.
 var killEvents = []string{
 	`kind = "node_kill", share = 0.4, for_s = 1.0`,
 	`kind = "node_kill", share = 0.6, for_s = 1.0`,
@@ -27,7 +27,7 @@
 	`kind = "herd_kill", on = "core"`,
 }
 
-// generateOutageDay returns a day on which the platform's store goes away again and again.
+// generateOutageDay returns a day with repeated outages of the platform's store.
 func generateOutageDay(opts options) string {
 	random := rand.New(rand.NewPCG(opts.Seed, 1))
 	var plans, faults []string
@@ -48,7 +48,7 @@
 	}
 	day := fmt.Sprintf("[[day]]\nname = \"outages-%d\"\nseed = %d\nplan = [\n%s]\nfaults = [\n%s]\n",
 		opts.Seed, opts.Seed, joinEvents(plans), joinEvents(faults))
-	// Drawn apart, so that a seed's outages stay the same whatever closingRandom there are.
+	// A separate generator, so that the outages of a seed do not depend on the list of closings.
 	closingRandom := rand.New(rand.NewPCG(opts.Seed, 2))
 	return day + randomClosing(closingRandom)
 }
