--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -124,12 +124,12 @@
 
 func (c *Caller) runPrograms() {
 	n := lastID.Add(1)
-	l := branch{program: fmt.Sprintf("p%d", n), smallBudget: n%4 == 0}
-	for l.turns < turnsPerProgram {
-		if !c.retryTurn(&l, retryTimeout) {
+	b := branch{program: fmt.Sprintf("p%d", n), smallBudget: n%4 == 0}
+	for b.turns < turnsPerProgram {
+		if !c.retryTurn(&b, retryTimeout) {
 			return
 		}
-		c.lastBranch = l
+		c.lastBranch = b
 		c.sendToolCall("/tool/", false)
 		c.sendToolCall("/lookup/", true)
 	}
