--- a/internal/testing/workload/checker.go
+++ b/internal/testing/workload/checker.go
@@ -80,7 +80,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	runs := c.runsByOrganisation[organisation]
-	most := 0
+	maxRuns := 0
 	for _, first := range runs {
 		n := 0
 		for _, r := range runs {
@@ -88,9 +88,9 @@
 				n++
 			}
 		}
-		most = max(most, n)
+		maxRuns = max(maxRuns, n)
 	}
-	return most
+	return maxRuns
 }
 
 // Runs returns the number of executed requests of an organisation.
@@ -192,9 +192,9 @@
 	defer c.mu.Unlock()
 	c.arrivals[server]++
 	now := time.Now()
-	at, leaving := c.drainingSince[server]
-	if leaving && now.Sub(at) > drainTime && now.After(c.lateAllowedUntil) {
-		c.addViolation("%s reached server %s %v after it started draining", id, server, now.Sub(at))
+	since, draining := c.drainingSince[server]
+	if draining && now.Sub(since) > drainTime && now.After(c.lateAllowedUntil) {
+		c.addViolation("%s reached server %s %v after it started draining", id, server, now.Sub(since))
 	}
 }
 
