--- a/cmd/rookpass-measure/main.go
+++ b/cmd/rookpass-measure/main.go
@@ -177,9 +177,9 @@
 		{name: "one forwarding hop, without waiting for the journal", path: &daemonPath{owner: 1, key: "loose"}, skipDurability: true},
 	}
 	for block := range b.Calls / callsPerProgram {
-		for _, w := range variants {
-			if err := b.runBlock(w, block); err != nil {
-				return fmt.Errorf("%s: %w", w.name, err)
+		for _, v := range variants {
+			if err := b.runBlock(v, block); err != nil {
+				return fmt.Errorf("%s: %w", v.name, err)
 			}
 		}
 	}
@@ -245,19 +245,19 @@
 	return nil
 }
 
-func (b *bench) callOnce(w *variant, i int, sequence uint64) error {
-	if w.path == nil {
-		return w.call(i)
+func (b *bench) callOnce(v *variant, i int, sequence uint64) error {
+	if v.path == nil {
+		return v.call(i)
 	}
-	_, err := b.clients[0].Call(context.Background(), modelCall(w.path.program, sequence), nil)
+	_, err := b.clients[0].Call(context.Background(), modelCall(v.path.program, sequence), nil)
 	return err
 }
 
 // maxDuration is the largest value that the histograms record, in nanoseconds.
 const maxDuration = int64(10 * time.Second)
 
-func (w *variant) percentile(percentile float64) time.Duration {
-	return time.Duration(w.times.ValueAtPercentile(percentile)).Round(time.Microsecond)
+func (v *variant) percentile(percentile float64) time.Duration {
+	return time.Duration(v.times.ValueAtPercentile(percentile)).Round(time.Microsecond)
 }
 
 func (b *bench) direct(i int) error {
