--- a/internal/testing/workload/caller.go
+++ b/internal/testing/workload/caller.go
@@ -232,7 +232,7 @@
 		output += eventData(id, n) + "\n"
 	}
 	if string(body) != eventText(id, 1, eventsPerTurn) || !platformtest.Signed(header, id) {
-		c.checker.AddViolation("turn %s has the wrong complete answer %.120q", id, body)
+		c.checker.AddViolation("turn %s has a complete but wrong answer %.120q", id, body)
 	}
 	c.checker.RecordOutcome("turn whole")
 	b.previous, b.history = id, b.history+input+output
@@ -257,7 +257,7 @@
 		return false
 	}
 	if string(body) != toolAnswer(id) || !platformtest.Signed(header, id) {
-		c.checker.AddViolation("call %s has the wrong complete answer %.120q", id, body)
+		c.checker.AddViolation("call %s has a complete but wrong answer %.120q", id, body)
 	}
 	c.checker.RecordOutcome("call whole")
 	return true
