--- a/cmd/rookpass-measure/main.go
+++ b/cmd/rookpass-measure/main.go
@@ -186,10 +186,10 @@
 	base := variants[0]
 	fmt.Println("| variant | p50 | p99 | added p50 | added p99 | CPU per call | allocations per call |")
 	fmt.Println("|---|---|---|---|---|---|---|")
-	for _, w := range variants {
-		p50, p99 := w.percentile(50), w.percentile(99)
-		fmt.Printf("| %s | %v | %v | %v | %v | %v | %d |\n", w.name, p50, p99, p50-base.percentile(50), p99-base.percentile(99),
-			(w.cpu / time.Duration(b.Calls)).Round(time.Microsecond), w.mallocs/uint64(b.Calls))
+	for _, v := range variants {
+		p50, p99 := v.percentile(50), v.percentile(99)
+		fmt.Printf("| %s | %v | %v | %v | %v | %v | %d |\n", v.name, p50, p99, p50-base.percentile(50), p99-base.percentile(99),
+			(v.cpu / time.Duration(b.Calls)).Round(time.Microsecond), v.mallocs/uint64(b.Calls))
 	}
 	fmt.Println("\nCPU and allocations are those of the whole process during the calls: caller, daemons, engine and object API.")
 	return nil
