--- a/internal/testing/faultmatrix/history_test.go
+++ b/internal/testing/faultmatrix/history_test.go
@@ -41,8 +41,9 @@
 type agent struct {
 	c       *cluster
 	history *history
-	entry   *node
-	client  *client.Client
+	// entry is the node that the agent is connected to.
+	entry  *node
+	client *client.Client
 	// beforeStep is called at the start of each step with its number, starting from 0.
 	beforeStep func(step int)
 	steps      int
