--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -29,9 +29,9 @@
 func TestMain(m *testing.M) {
 	testbubble.Prepare()
 	// The first use of signals starts a goroutine of the process, which must be outside of synctest bubbles.
-	alive := make(chan os.Signal, 1)
-	signal.Notify(alive, syscall.SIGHUP)
-	signal.Stop(alive)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	signal.Stop(signals)
 	os.Exit(m.Run())
 }
 
@@ -256,9 +256,9 @@
 	}
 }
 
-func hostNames(members []*vm) []string {
+func hostNames(vms []*vm) []string {
 	var names []string
-	for _, m := range members {
+	for _, m := range vms {
 		names = append(names, m.host)
 	}
 	return names
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -180,8 +180,8 @@
 // are read through the store daemons as soon as the layout is known.
 func (f *front) startWatches(ctx context.Context, group *errgroup.Group) {
 	source := feed.New(f.mirrors(), feed.NamedSource{Name: "platform", Source: singlePrefixSource{f.store}}, f.log)
-	link := watch.NewSharedSource(source)
-	run := func(h watch.Handler, limit time.Duration) error { return f.newWatcher(link, limit, h).Run(ctx) }
+	shared := watch.NewSharedSource(source)
+	run := func(h watch.Handler, limit time.Duration) error { return f.newWatcher(shared, limit, h).Run(ctx) }
 	group.Go(func() error {
 		if f.settings.FirstStart {
 			_ = wait.For(ctx, bootstrapWait)
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -149,12 +149,12 @@
 }
 
 // restartAll kills daemons together and starts them again.
-func (w *cluster) restartAll(members []*vm) {
-	for _, m := range members {
+func (w *cluster) restartAll(vms []*vm) {
+	for _, m := range vms {
 		w.kill(m)
 	}
 	time.Sleep(faultDuration / 2)
-	for _, m := range members {
+	for _, m := range vms {
 		w.start(m, false)
 	}
 }
@@ -169,22 +169,22 @@
 // workloadCase is the work that callers request while faults occur.
 type workloadCase struct {
 	name string
-	work func(w *cluster, b fault, stop <-chan struct{})
+	work func(w *cluster, f fault, stop <-chan struct{})
 	// wantOutcome is an outcome that must occur at least once; empty for none.
 	wantOutcome string
 }
 
 func workloadCases() []workloadCase {
-	asks := func(work workload.Work) func(*cluster, fault, <-chan struct{}) {
+	withCallers := func(work workload.Work) func(*cluster, fault, <-chan struct{}) {
 		return func(w *cluster, _ fault, stop <-chan struct{}) { w.runCallers(work, stop) }
 	}
 	return []workloadCase{
-		{"programs", asks(workload.Programs), "turn whole"},
-		{"turns that are not kept", asks(workload.ResumablePrograms), "question whole"},
-		{"turns of forked lines", asks(workload.ForkedTurns), "turn whole"},
-		{"turns beyond a budget", asks(workload.ForkedBudgets), "status 402"},
-		{"calls that must not run twice", asks(workload.AtMostOnceCalls), "call whole"},
-		{"lookups", asks(workload.IdempotentCalls), "call whole"},
+		{"programs", withCallers(workload.Programs), "turn whole"},
+		{"turns that are not kept", withCallers(workload.ResumablePrograms), "question whole"},
+		{"turns of forked lines", withCallers(workload.ForkedTurns), "turn whole"},
+		{"turns beyond a budget", withCallers(workload.ForkedBudgets), "status 402"},
+		{"calls that must not run twice", withCallers(workload.AtMostOnceCalls), "call whole"},
+		{"lookups", withCallers(workload.IdempotentCalls), "call whole"},
 		{"configurations", (*cluster).changeConfigurations, ""},
 		{"servers that leave", (*cluster).replaceServers, "call whole"},
 	}
@@ -288,8 +288,8 @@
 	time.Sleep(time.Until(began.Add(workDuration)))
 	close(stop)
 	wg.Wait()
-	broken := w.checker.Violations()
-	assert.Equal(t, len(broken), 0, "%s\n%v", strings.Join(broken, "\n"), w.checker.Counts())
+	violations := w.checker.Violations()
+	assert.Equal(t, len(violations), 0, "%s\n%v", strings.Join(violations, "\n"), w.checker.Counts())
 	if wc.wantOutcome != "" {
 		assert.Assert(t, w.checker.Counts()[wc.wantOutcome] > 0, "no request ended as %q: %v", wc.wantOutcome, w.checker.Counts())
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -139,8 +139,8 @@
 }
 
 // newWatcher returns a watcher of a handler's prefix that logs its outages and exports the age of its data as a metric.
-func (b *base) newWatcher(link *watch.SharedSource, d time.Duration, h watch.Handler) *watch.Watcher {
-	w := watch.New(link, minWatchInterval, h).WithPollTimeout(d).WithLog(b.log)
+func (b *base) newWatcher(source *watch.SharedSource, d time.Duration, h watch.Handler) *watch.Watcher {
+	w := watch.New(source, minWatchInterval, h).WithPollTimeout(d).WithLog(b.log)
 	gauge := fmt.Sprintf("rookpass_watch_age_seconds{prefix=%q}", h.Prefix())
 	b.metrics.Gauge(gauge, func() float64 { return w.Age().Seconds() })
 	return w
--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -123,8 +123,8 @@
 				}
 				close(stop)
 				work.Wait()
-				broken := w.checker.Violations()
-				assert.Equal(t, len(broken), 0, strings.Join(broken, "\n"))
+				violations := w.checker.Violations()
+				assert.Equal(t, len(violations), 0, strings.Join(violations, "\n"))
 			})
 		})
 	}
@@ -187,7 +187,7 @@
 // its limit and never exceed the tolerance in any window, whatever happens to the store daemons that count.
 func TestLimitHoldsAcrossFronts(t *testing.T) {
 	const perSecond = 10
-	most := (perSecond*5+perSecond)*1.1 + 20
+	maxRuns := (perSecond*5+perSecond)*1.1 + 20
 	for name, disrupt := range map[string]func(w *cluster){
 		"nothing":                   func(*cluster) { time.Sleep(outageDuration) },
 		"one home killed":           func(w *cluster) { w.restart(w.stores[0], outageDuration, false) },
@@ -217,18 +217,18 @@
 				close(stop)
 				work.Wait()
 				n := w.checker.MaxRunsWithin("north", 5*time.Second)
-				assert.Assert(t, float64(n) <= most, "%d requests in a window, of %.0f", n, most)
+				assert.Assert(t, float64(n) <= maxRuns, "%d requests in a window, of %.0f", n, maxRuns)
 				assert.Assert(t, ran >= int(passed.Seconds()*perSecond/2), "only %d requests in %v", ran, passed)
-				broken := w.checker.Violations()
-				assert.Equal(t, len(broken), 0, strings.Join(broken, "\n"))
+				violations := w.checker.Violations()
+				assert.Equal(t, len(violations), 0, strings.Join(violations, "\n"))
 			})
 		})
 	}
 }
 
 // killInTurn restarts daemons one after the other.
-func (w *cluster) killInTurn(members []*vm) {
-	for _, m := range members {
+func (w *cluster) killInTurn(vms []*vm) {
+	for _, m := range vms {
 		w.restart(m, 300*time.Millisecond, false)
 		time.Sleep(time.Second)
 	}
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -64,8 +64,8 @@
 		run(w)
 		close(stop)
 		work.Wait()
-		broken := w.checker.Violations()
-		assert.Equal(t, len(broken), 0, strings.Join(broken, "\n"))
+		violations := w.checker.Violations()
+		assert.Equal(t, len(violations), 0, strings.Join(violations, "\n"))
 	})
 }
 
@@ -144,11 +144,11 @@
 // renewAllButOne restores the entries of all servers but the last, and lets the checker watch that one.
 func (w *cluster) renewAllButOne() {
 	returned := time.Now()
-	gone := len(w.servers) - 1
+	expired := len(w.servers) - 1
 	time.Sleep(removalTime - updateDeadline)
-	w.checker.RecordDraining(w.servers[gone].Entry().ID.Server) // requests to it are violations from updateDeadline later on
+	w.checker.RecordDraining(w.servers[expired].Entry().ID.Server) // requests to it are violations from updateDeadline later on
 	time.Sleep(time.Until(returned.Add(renewalTime)))
-	for _, s := range w.servers[:gone] {
+	for _, s := range w.servers[:expired] {
 		w.platform.SetServer(s.Entry())
 	}
 	time.Sleep(4 * time.Second)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -57,9 +57,9 @@
 	log.SetOutput(out)
 	b := &base{host: localHost(), settings: settings, log: log}
 	b.applySettings(settings)
-	alive := make(chan os.Signal, 1) // an unhandled signal would end the test
-	signal.Notify(alive, syscall.SIGHUP)
-	defer signal.Stop(alive)
+	signals := make(chan os.Signal, 1) // an unhandled signal would end the test
+	signal.Notify(signals, syscall.SIGHUP)
+	defer signal.Stop(signals)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	ended := make(chan error, 1)
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -91,15 +91,15 @@
 	}
 	layouts := &handler{prefix: layoutPrefix, apply: controller.ObserveLayout}
 	source := feed.New(b.readers(store), feed.NamedSource{Name: "platform", Source: singlePrefixSource{b.store}}, b.log).WithMirrorPollTimeout(readerWatchWait)
-	link := watch.NewSharedSource(source)
-	layoutWatcher := b.newWatcher(link, slowWatchWait, teeHandler{mirrors[2], layouts})
+	shared := watch.NewSharedSource(source)
+	layoutWatcher := b.newWatcher(shared, slowWatchWait, teeHandler{mirrors[2], layouts})
 	watchers := []*watch.Watcher{
-		b.newWatcher(link, configWait, mirrors[0]),
-		b.newWatcher(link, storeWatchWait, mirrors[1]),
-		b.newWatcher(link, slowWatchWait, teeHandler{mirrors[3], retiring.handler()}),
+		b.newWatcher(shared, configWait, mirrors[0]),
+		b.newWatcher(shared, storeWatchWait, mirrors[1]),
+		b.newWatcher(shared, slowWatchWait, teeHandler{mirrors[3], retiring.handler()}),
 	}
 	for _, m := range evacuations {
-		watchers = append(watchers, b.newWatcher(link, evacuationWait, m))
+		watchers = append(watchers, b.newWatcher(shared, evacuationWait, m))
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	quotas, hub := quota.NewService(s.Quota), exchange.NewService()
@@ -152,7 +152,7 @@
 	return errors.Join(group.Wait(), store.Close())
 }
 
-// hubsByArea returns a function that lists the addresses of all hubs.
+// hubsByArea returns a function that lists, by area, the addresses at which its hub may be.
 func hubsByArea(store *replica.Store, regions map[string]string) func(crowded bool) map[string][]string {
 	return func(crowded bool) map[string][]string {
 		l := store.Layout()
