--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -217,7 +217,7 @@
 				close(stop)
 				work.Wait()
 				n := w.checker.MaxRunsWithin("north", 5*time.Second)
-				assert.Assert(t, float64(n) <= maxRuns, "%d requests in a window, of %.0f", n, maxRuns)
+				assert.Assert(t, float64(n) <= maxRuns, "%d requests in a window, limit %.0f", n, maxRuns)
 				assert.Assert(t, ran >= int(passed.Seconds()*perSecond/2), "only %d requests in %v", ran, passed)
 				violations := w.checker.Violations()
 				assert.Equal(t, len(violations), 0, strings.Join(violations, "\n"))
--- a/internal/turns/ledger/cluster_test.go
+++ b/internal/turns/ledger/cluster_test.go
@@ -175,7 +175,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatal("not reached within 30 s")
+	c.t.Fatal("condition not met within 30 s")
 }
 
 // ledger returns a ledger on a host of its own that knows the current layout.
--- a/internal/turns/ledger/ledger_test.go
+++ b/internal/turns/ledger/ledger_test.go
@@ -104,7 +104,7 @@
 			began := time.Now()
 			_, err := c.ledger("front-1").Chain(contextWithTimeout(t, 3*time.Second), fmt.Sprint("p", i), "nowhere")
 			assert.ErrorIs(t, err, ledger.ErrTurnNotFound)
-			assert.Assert(t, time.Since(began) <= 60*time.Millisecond, "told after %v", time.Since(began))
+			assert.Assert(t, time.Since(began) <= 60*time.Millisecond, "not found after %v", time.Since(began))
 		}
 	})
 }
@@ -310,7 +310,7 @@
 			})
 		}
 		wg.Wait()
-		assert.Assert(t, granted <= 10, "%d turns of 100 tokens were let into a budget of 1000", granted)
+		assert.Assert(t, granted <= 10, "%d turns of 100 tokens were accepted into a budget of 1000", granted)
 	})
 }
 
@@ -430,7 +430,7 @@
 				})
 			}
 			wg.Wait()
-			assert.Assert(t, granted.Load() <= 4, "%d turns of 100 tokens were let into a budget of 400", granted.Load())
+			assert.Assert(t, granted.Load() <= 4, "%d turns of 100 tokens were accepted into a budget of 400", granted.Load())
 		})
 	}
 }
--- a/internal/turns/replica/service_test.go
+++ b/internal/turns/replica/service_test.go
@@ -138,7 +138,7 @@
 	var page ExportReply
 	assert.NilError(t, NewService(s).Export(&ExportArgs{Layout: *l, Slot: 0, From: self.ID}, &page))
 	assert.Equal(t, len(page.Turns), wanted)
-	assert.Assert(t, wanted > 20 && wanted < 40, "%d of 40 programs belong to a slot of four, three of which hold each", wanted)
+	assert.Assert(t, wanted > 20 && wanted < 40, "%d of 40 programs belong to the slot; want three quarters", wanted)
 }
 
 func TestExpiryKeepsRecentlyUsedPrograms(t *testing.T) {
