--- a/internal/turns/ledger/ledger.go
+++ b/internal/turns/ledger/ledger.go
@@ -56,7 +56,7 @@
 	cache    *turnCache
 	// lastFailure holds, by the ID of a disk, when it last did not answer.
 	lastFailure sync.Map
-	// background tracks the calls that go on in the background.
+	// background tracks the calls that continue after their caller has returned.
 	background sync.WaitGroup
 }
 
--- a/internal/turns/replica/vacate.go
+++ b/internal/turns/replica/vacate.go
@@ -26,8 +26,8 @@
 // vacate takes this disk out of the layout where no other disk takes its slot over, in three steps. Each is a new
 // layout or a condition for one:
 //
-//   - This disk stops serving older layouts, then the slot is marked as leaving. All records that became durable with this
-//     disk's acknowledgement are on it by then, and no later record counts on it.
+//   - This disk stops serving older layouts, then the slot is marked as leaving. All records that became durable with
+//     this disk's acknowledgement are on it by then, and no later record counts on it.
 //   - Every record on this disk is copied until a quorum of the remaining slots of its group holds it.
 //   - The slot becomes vacant. Groups that had it get another slot in its place; a quorum of the remaining slots of the
 //     old group is a quorum of the new group.
