--- a/internal/front/exchange/exchange.go
+++ b/internal/front/exchange/exchange.go
@@ -1,6 +1,7 @@
-// Package exchange lets front daemons learn of one another, and share which backend servers look dead, through a store
-// daemon, their hub. Few daemons meet at one in each region, many at one in each data centre, and the hubs tell one another
-// their sums. So what a hub has to do, and the time until word is round, follow the daemons of a data centre.
+// Package exchange shares state between front daemons: which daemons exist, which backend servers appear to be down,
+// and the demand and load that each daemon adds. Daemons report to a hub, a service of a store daemon. With few
+// daemons there is one hub per region, with many one per data centre; hubs relay their sums to each other. The load of
+// a hub and the propagation delay therefore depend on the number of daemons in one data centre.
 package exchange
 
 import (
@@ -12,81 +13,85 @@
 	"github.com/rookpass/rookpass/internal/transport/peerlink"
 )
 
-// ServiceName is the net/rpc name of the service.
 const ServiceName = "Exchange"
 
 const (
-	// ReportInterval is the time between two calls of a daemon: what one has seen helps the others soon after.
+	// ReportInterval is the time between two reports of a daemon if its hub has at most maxDaemonsPerHub daemons.
 	ReportInterval = 300 * time.Millisecond
-	// memory is how long a daemon is remembered that no longer calls: several pauses of 400 daemons.
-	memory = 6 * time.Second
-	// staleAfter is how many pauses a daemon's demand and what fails it count after its report. What a dead daemon had comes to the
-	// others, and would take their share of the slots for as long as it counts.
-	staleAfter = 3
-	// maxPeers is how many other daemons an answer names: enough helpers for a detour.
+	// reportExpiry is how long a report is kept after its daemon stops reporting: several report intervals with 400
+	// daemons.
+	reportExpiry = 6 * time.Second
+	// staleIntervals is how many report intervals the demand, loads and failing servers of a report count. It is short
+	// because the demand of a dead daemon reduces the slots that the others may use.
+	staleIntervals = 3
+	// maxPeers bounds the number of daemon addresses in a reply.
 	maxPeers = 16
-	// crowd is how many daemons may call a hub every Pause; more of them call less often, so that the calls that come
-	// together stay bounded.
-	crowd = 150
-	// callTimeout bounds one call.
+	// maxDaemonsPerHub is how many daemons may report to a hub every ReportInterval. With more daemons the interval
+	// grows, which bounds the rate of calls.
+	maxDaemonsPerHub = 150
+	// callTimeout bounds a call to a hub.
 	callTimeout = 600 * time.Millisecond
 )
 
-// Args are what a daemon has seen.
+// Args is a daemon's report.
 type Args struct {
-	// From is the address at which the daemon helps others.
+	// From is the address at which other daemons can reach this one.
 	From string
-	// Daemons is how many there are, as far as it knows.
+	// Daemons is the number of daemons known to this one.
 	Daemons int
-	// Suspects are servers that look dead to it, Failing those that failed it last, just now.
+	// Suspects are servers that appear to be down to this daemon. Failing are servers whose last response to it was a
+	// recent failure.
 	Suspects, Failing []incarnation.ID
-	// Demand are the turns that it has under way or waiting, by service, Loads those that were at each model server
-	// since its last report, in the mean and in tenths.
+	// Demand is the number of turns running or queued, by service. Loads is the mean number of turns at each model
+	// server since the last report, in tenths.
 	Demand map[string]int
 	Loads  map[incarnation.ID]int
 }
 
-// Reply is what the others have seen.
+// Reply is the sum of the other daemons' reports.
 type Reply struct {
-	// Peers are some other daemons' addresses, Daemons how many there are, Here how many of them meet at this hub.
+	// Peers are addresses of some other daemons. Daemons is the number of other daemons, Here the number of those that
+	// report to this hub.
 	Peers         []string
 	Daemons, Here int
-	// Suspects and Failing tell how many of them named a server.
+	// Suspects and Failing give the number of daemons that named each server.
 	Suspects, Failing map[incarnation.ID]int
-	// Demand and Loads are the sums over the others.
+	// Demand and Loads are sums over the other daemons.
 	Demand map[string]int
 	Loads  map[incarnation.ID]int
 }
 
-// Service answers daemons. Its exported methods are net/rpc methods.
+// Service is the net/rpc service of a hub. Its exported methods with a matching signature are net/rpc methods.
 type Service struct {
-	mu  sync.Mutex
-	all sums
-	// relayed are the sums of other hubs, by their addresses.
-	relayed map[string]relayed
+	mu    sync.Mutex
+	local aggregate
+	// relayed holds the sums received from other hubs, by hub address.
+	relayed map[string]receivedSums
 }
 
-// NewService returns a service that knows nobody.
-func NewService() *Service { return &Service{all: newSums(), relayed: map[string]relayed{}} }
+// NewService returns a service without reports.
+func NewService() *Service {
+	return &Service{local: newAggregate(), relayed: map[string]receivedSums{}}
+}
 
-// Swap takes a daemon's report and answers with the others'.
+// Swap records a daemon's report and replies with the sum of the others'.
 func (s *Service) Swap(args *Args, reply *Reply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.all.forget(now)
-	s.all.take(now, args)
-	s.all.others(args, reply)
-	s.addRelayed(now, reply)
+	s.local.expire(now)
+	s.local.record(now, args)
+	s.local.replyTo(args, reply)
+	s.mergeRelayed(now, reply)
 	return nil
 }
 
-// ReportIntervalFor returns the time until the next call of one of so many daemons at a hub.
+// ReportIntervalFor returns the time between two reports of a daemon if its hub has the given number of daemons.
 func ReportIntervalFor(daemons int) time.Duration {
-	return ReportInterval * time.Duration(max(1, (daemons+crowd-1)/crowd))
+	return ReportInterval * time.Duration(max(1, (daemons+maxDaemonsPerHub-1)/maxDaemonsPerHub))
 }
 
-// Swap calls a service over a link.
+// Swap sends a report to the hub at the other end of a link and returns its reply.
 func Swap(ctx context.Context, link *peerlink.Link, args *Args) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/front/exchange/exchange_test.go
+++ b/internal/front/exchange/exchange_test.go
@@ -13,7 +13,7 @@
 	"github.com/rookpass/rookpass/internal/front/exchange"
 )
 
-// id names the only start of a server.
+// id returns an incarnation of a server that never restarts.
 func id(server string) incarnation.ID { return incarnation.ID{Server: server} }
 
 func swap(t *testing.T, s *exchange.Service, from string, suspects ...incarnation.ID) exchange.Reply {
@@ -24,7 +24,7 @@
 	return reply
 }
 
-func TestDaemonsLearnOfOneAnother(t *testing.T) {
+func TestSwapReturnsOtherDaemonsReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := exchange.NewService()
 		swap(t, s, "a", id("s1"), id("s2"))
@@ -32,7 +32,7 @@
 		got := swap(t, s, "c")
 		assert.DeepEqual(t, got, exchange.Reply{Peers: []string{"a", "b"}, Daemons: 2, Here: 2, Suspects: map[incarnation.ID]int{id("s1"): 1, id("s2"): 2}, Failing: map[incarnation.ID]int{},
 			Demand: map[string]int{}, Loads: map[incarnation.ID]int{}})
-		// A daemon's own word does not come back to it, and only its newest counts.
+		// The reply omits the daemon's own report, and only each daemon's latest report counts.
 		assert.DeepEqual(t, swap(t, s, "a"), exchange.Reply{Peers: []string{"b", "c"}, Daemons: 2, Here: 2, Suspects: map[incarnation.ID]int{id("s2"): 1}, Failing: map[incarnation.ID]int{},
 			Demand: map[string]int{}, Loads: map[incarnation.ID]int{}})
 		time.Sleep(7 * time.Second)
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestAnswersStaySmall: however many daemons there are.
-func TestAnswersStaySmall(t *testing.T) {
+// TestPeersInReplyAreBounded also checks that the report interval grows with the number of daemons.
+func TestPeersInReplyAreBounded(t *testing.T) {
 	s := exchange.NewService()
 	for i := range 300 {
 		swap(t, s, fmt.Sprint("front-", i))
@@ -66,8 +66,9 @@
 	assert.DeepEqual(t, reply.Loads, map[incarnation.ID]int{id("s1"): 30, id("s2"): 10})
 }
 
-// TestDemandOfDeadDaemonsIsForgotten: sooner than the daemon itself.
-func TestDemandOfDeadDaemonsIsForgotten(t *testing.T) {
+// TestDemandExpiresBeforeSuspects checks that the demand of a daemon that stopped reporting expires within about a
+// second.
+func TestDemandExpiresBeforeSuspects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := exchange.NewService()
 		var reply exchange.Reply
--- a/internal/front/exchange/hubs.go
+++ b/internal/front/exchange/hubs.go
@@ -5,11 +5,11 @@
 	"github.com/rookpass/rookpass/internal/turns/layout"
 )
 
-// HubCandidates returns where the hub of a daemon at a place may be, the likeliest first: few daemons all meet at the first disk's
-// daemon in their region, more than crowd at the first of their data centre.
+// HubCandidates returns the addresses at which the hub of a daemon may be, in the order in which to try them. The
+// addresses of the daemon's region come first, or with more than maxDaemonsPerHub daemons those of its data centre.
 func HubCandidates(disks []layout.Disk, at place.Topology, daemons int) []string {
 	farthest := place.SameRegion
-	if daemons > crowd {
+	if daemons > maxDaemonsPerHub {
 		farthest = place.SameDataCentre
 	}
 	var near, others []string
@@ -23,7 +23,7 @@
 	return append(near, others...)
 }
 
-// HubsByArea returns where all hubs may be, by data centre where daemons are many and by region where they are few.
+// HubsByArea returns the candidate addresses of all hubs, keyed by data centre if crowded is set, else by region.
 func HubsByArea(disks []layout.Disk, regions map[string]string, crowded bool) map[string][]string {
 	places := map[string][]string{}
 	for _, disk := range disks {
--- a/internal/front/exchange/relay.go
+++ b/internal/front/exchange/relay.go
@@ -14,137 +14,139 @@
 )
 
 const (
-	// relayPause is the time between two calls of a hub to another.
-	relayPause = ReportInterval
-	// relayMemory is how long another hub's sums count: some calls may be lost.
-	relayMemory = 4 * relayPause
+	// relayInterval is the time between two relays of a hub.
+	relayInterval = ReportInterval
+	// relayedExpiry is how long another hub's sums count. It tolerates some lost calls.
+	relayedExpiry = 4 * relayInterval
 )
 
-// Sums are what the daemons that meet at a hub have said, added up.
+// Sums is the sum of the reports of all daemons that report to one hub. It is sent to other hubs.
 type Sums struct {
-	// Hub is the address of the hub, Daemons how many meet there.
+	// Hub is the address of the hub, Daemons the number of daemons that report to it.
 	Hub     string
 	Daemons int
-	// The rest is as in Reply.
+	// The other fields are as in Reply.
 	Suspects, Failing map[incarnation.ID]int
 	Demand            map[string]int
 	Loads             map[incarnation.ID]int
 }
 
-// relayed are another hub's sums, and when they came.
-type relayed struct {
-	at   time.Time
-	sums *Sums
+// receivedSums are another hub's sums and when they were received.
+type receivedSums struct {
+	receivedAt time.Time
+	sums       *Sums
 }
 
-// Relay takes another hub's sums.
+// Relay stores another hub's sums.
 func (s *Service) Relay(sums *Sums, _ *struct{}) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.relayed[sums.Hub] = relayed{time.Now(), sums}
+	s.relayed[sums.Hub] = receivedSums{time.Now(), sums}
 	return nil
 }
 
-// Sums returns what the daemons that meet here have said, or nil where none does.
+// Sums returns the sum of the reports to this hub, or nil if there are none.
 func (s *Service) Sums(hub string) *Sums {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.all.forget(time.Now())
-	if len(s.all.reports) == 0 {
+	s.local.expire(time.Now())
+	if len(s.local.reports) == 0 {
 		return nil
 	}
-	return &Sums{Hub: hub, Daemons: len(s.all.reports), Suspects: maps.Clone(s.all.suspects), Failing: maps.Clone(s.all.failing),
-		Demand: maps.Clone(s.all.demand), Loads: maps.Clone(s.all.loads)}
+	return &Sums{Hub: hub, Daemons: len(s.local.reports), Suspects: maps.Clone(s.local.suspects), Failing: maps.Clone(s.local.failing),
+		Demand: maps.Clone(s.local.demand), Loads: maps.Clone(s.local.loads)}
 }
 
-// crowded tells whether there are so many daemons that they meet in each data centre, as far as those know that meet here.
-func (s *Service) crowded() bool {
+// hubPerDataCentre reports whether there are more than maxDaemonsPerHub daemons, as far as this hub and the daemons
+// that report to it know. There is then a hub in each data centre.
+func (s *Service) hubPerDataCentre() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.all.reports) > crowd {
+	if len(s.local.reports) > maxDaemonsPerHub {
 		return true
 	}
-	for _, e := range s.all.reports {
-		if e.Value.(*report).said.Daemons > crowd {
+	for _, e := range s.local.reports {
+		if e.Value.(*report).args.Daemons > maxDaemonsPerHub {
 			return true
 		}
 	}
 	return false
 }
 
-// addRelayed adds to an answer what other hubs' daemons have said. It is called with the lock held.
-func (s *Service) addRelayed(now time.Time, reply *Reply) {
+// mergeRelayed adds the sums of other hubs to a reply and drops expired ones. The caller holds s.mu.
+func (s *Service) mergeRelayed(now time.Time, reply *Reply) {
 	for hub, r := range s.relayed {
-		if now.Sub(r.at) > relayMemory {
+		if now.Sub(r.receivedAt) > relayedExpiry {
 			delete(s.relayed, hub)
 			continue
 		}
 		reply.Daemons += r.sums.Daemons
-		addAll(reply.Suspects, r.sums.Suspects)
-		addAll(reply.Failing, r.sums.Failing)
-		addAll(reply.Demand, r.sums.Demand)
-		addAll(reply.Loads, r.sums.Loads)
+		mergeCounts(reply.Suspects, r.sums.Suspects)
+		mergeCounts(reply.Failing, r.sums.Failing)
+		mergeCounts(reply.Demand, r.sums.Demand)
+		mergeCounts(reply.Loads, r.sums.Loads)
 	}
 }
 
-func addAll[K comparable](sums, more map[K]int) {
+func mergeCounts[K comparable](sums, more map[K]int) {
 	for key, n := range more {
 		sums[key] += n
 	}
 }
 
-// Relayer tells the other hubs what this one's daemons have said.
+// Relayer sends the sums of this hub to the other hubs.
 type Relayer struct {
 	Service *Service
 	Links   *peerlink.Pool
-	// SelfAddress is this daemon's address.
+	// SelfAddress is this hub's address.
 	SelfAddress string
-	// HubsByArea returns where each hub may be, the likeliest first: one in each data centre where daemons are many, else one in
-	// each region.
+	// HubsByArea returns the candidate addresses of each hub in the order in which to try them, keyed by data centre
+	// if crowded is set, else by region.
 	HubsByArea func(crowded bool) map[string][]string
 	Log        logrus.FieldLogger
 
 	mu sync.Mutex
-	// moves has the hubs whose likeliest place has not answered.
-	moves map[string]move
+	// failovers holds the hubs whose first candidate did not answer, by area.
+	failovers map[string]failover
 }
 
-// move is how many places of a hub are passed over, and since when.
-type move struct {
-	places int
-	at     time.Time
+// failover is how many candidates of a hub are skipped, and since when.
+type failover struct {
+	skipped int
+	since   time.Time
 }
 
-// returnTime is how long a place that has not answered is passed over.
-const returnTime = 8 * time.Second
+// failoverExpiry is the time after which skipped candidates are tried again.
+const failoverExpiry = 8 * time.Second
 
-// Run relays until ctx ends. A daemon at which none meets has nothing to tell.
+// Run relays the sums every relayInterval until ctx ends, as long as any daemon reports to this hub.
 func (r *Relayer) Run(ctx context.Context) error {
-	r.moves = map[string]move{}
-	for wait.For(ctx, relayPause) == nil {
+	r.failovers = map[string]failover{}
+	for wait.For(ctx, relayInterval) == nil {
 		sums := r.Service.Sums(r.SelfAddress)
 		if sums == nil {
 			continue
 		}
-		hubs := r.HubsByArea(r.Service.crowded())
+		hubs := r.HubsByArea(r.Service.hubPerDataCentre())
 		if len(hubs) <= 1 {
-			continue // all daemons meet here
+			continue // there is no other hub
 		}
 		var calls sync.WaitGroup
 		for name, places := range hubs {
-			calls.Go(func() { r.tell(ctx, name, places, sums) })
+			calls.Go(func() { r.relayTo(ctx, name, places, sums) })
 		}
 		calls.Wait()
 	}
 	return ctx.Err()
 }
 
-// tell calls one hub. Where that has not answered, the next place is told: its daemons have moved there too.
-func (r *Relayer) tell(ctx context.Context, name string, places []string, sums *Sums) {
-	moved := r.moved(name)
+// relayTo sends the sums to the hub of one area. If it does not answer, the next candidate is used from the next relay
+// on, as the hub's daemons fail over to it too.
+func (r *Relayer) relayTo(ctx context.Context, name string, places []string, sums *Sums) {
+	moved := r.candidatesSkipped(name)
 	place := places[moved%len(places)]
 	if place == r.SelfAddress {
-		return // its daemons have moved here
+		return // the area's daemons have failed over to this hub
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -153,19 +155,19 @@
 		return
 	}
 	r.Log.WithFields(logrus.Fields{"event": "relay-failed", "hub": name, "place": place, "daemons": sums.Daemons,
-		"error": err}).Info("another hub has not answered; telling the next")
+		"error": err}).Info("hub did not answer relay; trying next candidate")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.moves[name] = move{moved + 1, time.Now()}
+	r.failovers[name] = failover{moved + 1, time.Now()}
 }
 
-// moved returns how many places of a hub are passed over now.
-func (r *Relayer) moved(name string) int {
+// candidatesSkipped returns how many candidates of a hub are currently skipped.
+func (r *Relayer) candidatesSkipped(name string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.moves[name]
-	if time.Since(m.at) > returnTime {
+	m := r.failovers[name]
+	if time.Since(m.since) > failoverExpiry {
 		return 0
 	}
-	return m.places
+	return m.skipped
 }
--- a/internal/front/exchange/relay_test.go
+++ b/internal/front/exchange/relay_test.go
@@ -21,7 +21,7 @@
 	"github.com/rookpass/rookpass/internal/turns/layout"
 )
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
@@ -35,8 +35,9 @@
 	return disks
 }
 
-// TestFewDaemonsMeetAtOnePlaceAndManyInTheirDataCentre, and where no hub of it answers, at another's.
-func TestFewDaemonsMeetAtOnePlaceAndManyInTheirDataCentre(t *testing.T) {
+// TestHubCandidatesDependOnNumberOfDaemons checks that few daemons share one hub, many have one per data centre, with
+// the hubs of other data centres as fallback.
+func TestHubCandidatesDependOnNumberOfDaemons(t *testing.T) {
 	disks := disksOf(3, 2)
 	at := place.Topology{DataCentre: "dc1"}
 	for _, daemons := range []int{0, 8, 150} {
@@ -46,8 +47,8 @@
 	assert.DeepEqual(t, exchange.HubCandidates(disks, place.Topology{DataCentre: "elsewhere"}, 865)[0], "hub-0:1")
 }
 
-// TestRegionsHaveHubsOfTheirOwn, however few daemons there are.
-func TestRegionsHaveHubsOfTheirOwn(t *testing.T) {
+// TestHubPerRegionWithFewDaemons checks that regions never share a hub.
+func TestHubPerRegionWithFewDaemons(t *testing.T) {
 	disks := disksOf(3, 2)
 	regions := map[string]string{"dc0": "a", "dc1": "b", "dc2": "b"}
 	for dataCentre, want := range map[string]string{"dc0": "hub-0:1", "dc1": "hub-1:1", "dc2": "hub-1:1"} {
@@ -59,16 +60,16 @@
 	assert.Equal(t, len(exchange.HubsByArea(disks, map[string]string{"dc0": "a", "dc1": "a", "dc2": "a"}, false)), 1)
 }
 
-// hubs are store daemons on a network in memory, each with the service and a relayer.
-type hubs struct {
+// hubCluster is a set of store daemons on an in-memory network, each with a service and a relayer.
+type hubCluster struct {
 	fabric   *memnet.Fabric
 	disks    []layout.Disk
 	services []*exchange.Service
 	links    *peerlink.Pool
 }
 
-func startHubs(t *testing.T, ctx context.Context, work *sync.WaitGroup) *hubs {
-	h := &hubs{fabric: memnet.New(), disks: disksOf(3, 2)}
+func startHubCluster(t *testing.T, ctx context.Context, work *sync.WaitGroup) *hubCluster {
+	h := &hubCluster{fabric: memnet.New(), disks: disksOf(3, 2)}
 	dialer := func(host string) func(context.Context, string, string) (net.Conn, error) {
 		return func(ctx context.Context, _, address string) (net.Conn, error) {
 			return h.fabric.Dial(ctx, host, address)
@@ -82,25 +83,26 @@
 		listener, err := h.fabric.Listen(host, disk.Address)
 		assert.NilError(t, err)
 		go func() { _ = peerlink.Serve(listener, map[string]any{exchange.ServiceName: service}) }()
-		relayer := &exchange.Relayer{Service: service, Links: peerlink.NewSet(dialer(host)), SelfAddress: disk.Address, Log: quiet(),
+		relayer := &exchange.Relayer{Service: service, Links: peerlink.NewSet(dialer(host)), SelfAddress: disk.Address, Log: discardLogger(),
 			HubsByArea: func(crowded bool) map[string][]string { return exchange.HubsByArea(h.disks, nil, crowded) }}
 		work.Go(func() { _ = relayer.Run(ctx) })
 	}
 	return h
 }
 
-// close ends all daemons.
-func (h *hubs) close(cancel context.CancelFunc, work *sync.WaitGroup) {
+// close stops all daemons.
+func (h *hubCluster) close(cancel context.CancelFunc, work *sync.WaitGroup) {
 	cancel()
 	work.Wait()
 	for i := range h.disks {
 		h.fabric.Kill(fmt.Sprint("hub-", i))
 	}
-	time.Sleep(time.Minute) // timers of closed connections run out
+	time.Sleep(time.Minute) // let timers of closed connections expire
 }
 
-// crowdOf lets daemons report to the hubs of their data centres again and again, the last of them that a server looks dead.
-func (h *hubs) crowdOf(ctx context.Context, t *testing.T, daemons int, suspect incarnation.ID, work *sync.WaitGroup) {
+// startReporting starts daemons that report to the hubs of their data centres until ctx ends. The last daemon reports
+// a suspect.
+func (h *hubCluster) startReporting(ctx context.Context, t *testing.T, daemons int, suspect incarnation.ID, work *sync.WaitGroup) {
 	for i := range daemons {
 		args := &exchange.Args{From: fmt.Sprint("front-", i), Daemons: daemons, Demand: map[string]int{"m": 1}}
 		if i == daemons-1 {
@@ -108,15 +110,15 @@
 		}
 		work.Go(func() {
 			for ctx.Err() == nil {
-				h.ask(ctx, fmt.Sprint("dc", i%3), daemons, args)
+				h.swapWithAnyHub(ctx, fmt.Sprint("dc", i%3), daemons, args)
 				time.Sleep(exchange.ReportInterval)
 			}
 		})
 	}
 }
 
-// ask swaps at the first hub that answers.
-func (h *hubs) ask(ctx context.Context, dataCentre string, daemons int, args *exchange.Args) *exchange.Reply {
+// swapWithAnyHub swaps with the first hub that answers.
+func (h *hubCluster) swapWithAnyHub(ctx context.Context, dataCentre string, daemons int, args *exchange.Args) *exchange.Reply {
 	for _, place := range exchange.HubCandidates(h.disks, place.Topology{DataCentre: dataCentre}, daemons) {
 		if reply, err := exchange.Swap(ctx, h.links.LinkTo(place), args); err == nil {
 			return reply
@@ -125,41 +127,41 @@
 	return nil
 }
 
-// TestWordGoesRoundAllHubs: what one daemon says is known in every data centre within a second, also after a hub was killed.
-func TestWordGoesRoundAllHubs(t *testing.T) {
+// TestReportsReachAllHubs checks that a report is known in every data centre within a second, also after a hub was
+// killed.
+func TestReportsReachAllHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var work sync.WaitGroup
-		h := startHubs(t, ctx, &work)
+		h := startHubCluster(t, ctx, &work)
 		t.Cleanup(func() { h.close(cancel, &work) })
 		const daemons = 180
-		h.crowdOf(ctx, t, daemons, id("dead"), &work)
+		h.startReporting(ctx, t, daemons, id("dead"), &work)
 		known := func(when string) {
 			for _, dataCentre := range []string{"dc0", "dc1", "dc2"} {
-				reply := h.ask(ctx, dataCentre, daemons, &exchange.Args{From: "asker-" + dataCentre})
+				reply := h.swapWithAnyHub(ctx, dataCentre, daemons, &exchange.Args{From: "asker-" + dataCentre})
 				assert.Assert(t, reply != nil, "%s: %s", when, dataCentre)
 				assert.Equal(t, reply.Suspects[id("dead")], 1, "%s: %s", when, dataCentre)
 				assert.Assert(t, reply.Daemons >= daemons, "%s: %d daemons", when, reply.Daemons)
-				assert.Assert(t, reply.Here < daemons/2, "%s: %d daemons meet here", when, reply.Here)
+				assert.Assert(t, reply.Here < daemons/2, "%s: %d daemons report to this hub", when, reply.Here)
 				assert.Assert(t, reply.Demand["m"] >= daemons, "%s: %d", when, reply.Demand["m"])
 			}
 		}
 		time.Sleep(time.Second)
 		known("calm")
-		h.fabric.Kill("hub-2") // where the daemon with the word reports
+		h.fabric.Kill("hub-2") // the daemon with the suspect reports to it
 		time.Sleep(2 * time.Second)
 		known("a hub was killed")
 	})
 }
 
-// TestFewDaemonsCostNoRelay: where all meet at one hub it tells nobody.
-func TestFewDaemonsCostNoRelay(t *testing.T) {
+func TestSingleHubDoesNotRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var work sync.WaitGroup
-		h := startHubs(t, ctx, &work)
+		h := startHubCluster(t, ctx, &work)
 		t.Cleanup(func() { h.close(cancel, &work) })
-		h.crowdOf(ctx, t, 60, id("dead"), &work)
+		h.startReporting(ctx, t, 60, id("dead"), &work)
 		time.Sleep(2 * time.Second)
 		for _, service := range h.services[1:] {
 			var reply exchange.Reply
--- a/internal/front/exchange/sums_test.go
+++ b/internal/front/exchange/sums_test.go
@@ -14,9 +14,9 @@
 	"github.com/rookpass/rookpass/internal/front/exchange"
 )
 
-// TestSumsAreThoseOfTheLastReports: however reports come, an answer is the sum of what the others said last, as far as it is
-// not too old.
-func TestSumsAreThoseOfTheLastReports(t *testing.T) {
+// TestReplyIsSumOfLatestReports compares replies to random reports with a model that adds up the latest unexpired
+// reports.
+func TestReplyIsSumOfLatestReports(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) { checkSums(t, rand.New(rand.NewPCG(seed, 1))) })
 	}
@@ -40,11 +40,11 @@
 			}
 			want.Daemons++
 			want.Here++
-			addTo(want.Suspects, said.Suspects)
+			countIDs(want.Suspects, said.Suspects)
 			if age > 3*exchange.ReportInterval {
 				continue
 			}
-			addTo(want.Failing, said.Failing)
+			countIDs(want.Failing, said.Failing)
 			want.Demand["m"] += said.Demand["m"]
 			want.Loads[id("s1")] += said.Loads[id("s1")]
 		}
@@ -68,14 +68,13 @@
 	return args
 }
 
-func addTo(sums map[incarnation.ID]int, ids []incarnation.ID) {
+func countIDs(sums map[incarnation.ID]int, ids []incarnation.ID) {
 	for _, id := range ids {
 		sums[id]++
 	}
 }
 
-// BenchmarkSwap is one report among 259 daemons', each with two suspects and loads of ten servers. To add up all reports for
-// each took 215 µs; to keep the sums takes 16 µs.
+// BenchmarkSwap measures one report among 259 daemons, each with two suspects and the loads of ten servers.
 func BenchmarkSwap(b *testing.B) {
 	s := exchange.NewService()
 	reports := make([]*exchange.Args, 259)
