--- a/internal/front/exchange/hubs.go
+++ b/internal/front/exchange/hubs.go
@@ -23,15 +23,15 @@
 	return append(near, others...)
 }
 
-// HubsByArea returns the candidate addresses of all hubs, keyed by data centre if crowded is set, else by region.
-func HubsByArea(disks []layout.Disk, regions map[string]string, crowded bool) map[string][]string {
-	places := map[string][]string{}
+// HubsByArea returns the candidate addresses of all hubs, keyed by data centre if perDataCentre is set, else by region.
+func HubsByArea(disks []layout.Disk, regions map[string]string, perDataCentre bool) map[string][]string {
+	hubs := map[string][]string{}
 	for _, disk := range disks {
 		name := disk.DataCentre
-		if !crowded {
+		if !perDataCentre {
 			name = regions[disk.DataCentre]
 		}
-		places[name] = append(places[name], disk.Address)
+		hubs[name] = append(hubs[name], disk.Address)
 	}
-	return places
+	return hubs
 }
--- a/internal/front/exchange/relay.go
+++ b/internal/front/exchange/relay.go
@@ -101,8 +101,8 @@
 	// SelfAddress is this hub's address.
 	SelfAddress string
 	// HubsByArea returns the candidate addresses of each hub in the order in which to try them, keyed by data centre
-	// if crowded is set, else by region.
-	HubsByArea func(crowded bool) map[string][]string
+	// if perDataCentre is set, else by region.
+	HubsByArea func(perDataCentre bool) map[string][]string
 	Log        logrus.FieldLogger
 
 	mu sync.Mutex
@@ -132,8 +132,8 @@
 			continue // there is no other hub
 		}
 		var calls sync.WaitGroup
-		for name, places := range hubs {
-			calls.Go(func() { r.relayTo(ctx, name, places, sums) })
+		for name, candidates := range hubs {
+			calls.Go(func() { r.relayTo(ctx, name, candidates, sums) })
 		}
 		calls.Wait()
 	}
@@ -142,9 +142,9 @@
 
 // relayTo sends the sums to the hub of one area. If it does not answer, the next candidate is used from the next relay
 // on, as the hub's daemons fail over to it too.
-func (r *Relayer) relayTo(ctx context.Context, name string, places []string, sums *Sums) {
-	moved := r.candidatesSkipped(name)
-	place := places[moved%len(places)]
+func (r *Relayer) relayTo(ctx context.Context, name string, candidates []string, sums *Sums) {
+	skipped := r.candidatesSkipped(name)
+	place := candidates[skipped%len(candidates)]
 	if place == r.SelfAddress {
 		return // the area's daemons have failed over to this hub
 	}
@@ -158,7 +158,7 @@
 		"error": err}).Info("hub did not answer relay; trying next candidate")
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.failovers[name] = failover{moved + 1, time.Now()}
+	r.failovers[name] = failover{skipped + 1, time.Now()}
 }
 
 // candidatesSkipped returns how many candidates of a hub are currently skipped.
