--- a/internal/front/catalog/catalog.go
+++ b/internal/front/catalog/catalog.go
@@ -1,7 +1,8 @@
-// Package catalog is a daemon's copy of what it serves: routes, services and the backend servers that are up.
+// Package catalog holds a front daemon's copy of the configuration and of the backend servers: routes, services,
+// organisations and the servers that are up.
 //
-// Readers load an immutable view without a lock; the feeds of the platform replace it. Configurations only
-// ever rise in version.
+// Readers load immutable snapshots without a lock. Watch handlers replace the snapshots. The version of the
+// configuration never decreases.
 package catalog
 
 import (
@@ -12,20 +13,20 @@
 	"github.com/rookpass/rookpass/internal/base/secret"
 )
 
-// Kind tells how often a request may run.
+// Kind is the kind of a route's requests. It determines whether a request may run more than once.
 type Kind int
 
 // The kinds of request. The zero value is the strictest.
 const (
-	// AtMostOnce requests must not be sent again once a server may have begun on them.
+	// AtMostOnce requests are not sent again once a server may have started them.
 	AtMostOnce Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by events; they run at most once too, unless the route is Resumable.
+	// Stream requests are answered with server-sent events. They run at most once unless the route is Resumable.
 	Stream
 )
 
-// String returns the kind's name for logs.
+// String implements fmt.Stringer.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -37,54 +38,53 @@
 	}
 }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a weighted share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route tells where requests of a host and path prefix go.
+// Route describes the requests of one host and path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest a request may be held; 0 means no bound.
+	// Timeout bounds the time of a request; 0 means no bound.
 	Timeout time.Duration
-	// Objective is the time within which an answer has its full value.
+	// Objective is the latency objective for the response.
 	Objective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority    int
 	Targets     []Target
 	MaxAttempts int
-	// RetainTurns routes carry turns whose history rookpass keeps for Retention after their end.
+	// RetainTurns is set if the route's requests are turns whose history is stored for Retention after they end.
 	RetainTurns bool
 	Retention   time.Duration
-	// Resumable streams may be sent again, and go on at another server behind the last event that came.
+	// Resumable streams may be sent to another server after a failure, which continues after the last event received.
 	Resumable bool
-	// MaxGap is the longest pause between two events of an answer that is in time; 0 means no bound.
+	// MaxGap is the longest time between two events of a response that is on time; 0 means no bound.
 	MaxGap time.Duration
-	// PreferCached is set where a server that has seen the same data answers sooner.
+	// PreferCached is set if a server that has read the same data before responds sooner.
 	PreferCached bool
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool
 	// AllowedRegions are the regions to which requests may go.
 	AllowedRegions AllowedRegions
 }
 
-// Service is a set of like backend servers.
+// Service is a set of interchangeable backend servers.
 type Service struct {
 	Name string
-	// MaxConns bounds the connections of all callers to one server.
+	// MaxConns bounds a daemon's connections to one server.
 	MaxConns int
-	// TokensPerEvent is how many tokens one event of a model stream stands for; 0 for plain services.
+	// TokensPerEvent is the number of tokens in one event of a model's stream; 0 for services that are no models.
 	TokensPerEvent int
-	// ColdPerSecond is how many requests a second, of all daemons together, one of its servers bears while it is cold; 0
-	// where it bears as many as ever.
+	// ColdPerSecond is the rate of requests, over all daemons, that a cold server can take; 0 means no bound.
 	ColdPerSecond float64
 }
 
-// Limits bound what callers may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -92,53 +92,55 @@
 	IdleTimeout    time.Duration
 }
 
-// Config is one version of what operators set.
+// Config is one version of the operators' configuration.
 type Config struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
-	// RequireKeys tells that requests on routes that are not public need the key of an organisation.
+	// RequireKeys is set if requests need the key of an organisation, except on public routes.
 	RequireKeys   bool
 	Organisations []Organisation
-	// RejectedOrganisations tells what is wrong with each organisation that was left out because it can't be read.
+	// RejectedOrganisations has an error message for each organisation that was left out because it could not be
+	// decoded.
 	RejectedOrganisations []string
 }
 
-// Server is one start of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
-	// ID names the start; Address may be reused by another server.
+	// ID identifies the incarnation. Address may be reused by another server.
 	ID         incarnation.ID
 	Service    string
 	Address    string
 	DataCentre string
 	Slots      int
 	Draining   bool
-	// ColdRemaining is how long the server stays cold, as its entry says. Views have the time in its place.
+	// ColdRemaining is the remaining time for which the server is cold, from its entry. It is 0 in snapshots, which
+	// hold the point in time instead.
 	ColdRemaining time.Duration `json:"-"`
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent || r.Kind == Stream && r.Resumable }
 
-// Table finds the route of a request in one version of the configuration. It is immutable.
+// Table is an index of one version of the configuration. It is immutable.
 type Table struct {
 	Config   Config
 	routes   map[string]map[string]*Route
 	services map[string]*Service
-	// owners has the organisation of each key; nil for a key that two of them claim.
-	owners map[secret.Hash]*Organisation
-	labels map[string]string
+	// organisationsByKey has the organisation of each key; nil for a key that two organisations claim.
+	organisationsByKey map[secret.Hash]*Organisation
+	metricLabels       map[string]string
 }
 
 // NewTable indexes a configuration.
 func NewTable(config Config) *Table {
 	t := &Table{
-		Config:   config,
-		routes:   make(map[string]map[string]*Route),
-		services: make(map[string]*Service, len(config.Services)),
-		owners:   owners(config.Organisations),
-		labels:   labels(config.Organisations),
+		Config:             config,
+		routes:             make(map[string]map[string]*Route),
+		services:           make(map[string]*Service, len(config.Services)),
+		organisationsByKey: indexKeys(config.Organisations),
+		metricLabels:       metricLabels(config.Organisations),
 	}
 	for i := range config.Routes {
 		route := &config.Routes[i]
@@ -155,8 +157,8 @@
 	return t
 }
 
-// Route returns the route with the longest prefix of path at the host, or nil. Prefixes begin and end with a
-// slash, so only the slashes of path are tried.
+// Route returns the route with the longest matching prefix of path on the host, or nil. Prefixes begin and end with a
+// slash, so only prefixes of path that end in a slash are looked up.
 func (t *Table) Route(host, path string) *Route {
 	byPrefix := t.routes[host]
 	for end := len(path); end > 0; {
@@ -175,7 +177,8 @@
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// PickService returns the service for a request, by the targets' weights; r lies in [0, 1).
+// PickService returns the service for a request according to the targets' weights; random lies in [0, 1). It returns
+// "" if the route has no targets.
 func (r *Route) PickService(random float64) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/internal/front/catalog/catalog_test.go
+++ b/internal/front/catalog/catalog_test.go
@@ -19,13 +19,13 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func TestLongestPrefixWins(t *testing.T) {
+func TestRouteMatchesLongestPrefix(t *testing.T) {
 	table := catalog.NewTable(catalog.Config{Routes: []catalog.Route{
 		{Name: "a", Host: "h", Prefix: "/a/"}, {Name: "ab", Host: "h", Prefix: "/a/b/"}, {Name: "root", Host: "other", Prefix: "/"},
 	}})
@@ -41,7 +41,7 @@
 	assert.Assert(t, table.Route("unknown", "/a/x") == nil)
 }
 
-func TestTargetsShareByWeight(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	route := catalog.Route{Targets: []catalog.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for i := range 1000 {
@@ -51,14 +51,15 @@
 	assert.Equal(t, (&catalog.Route{}).PickService(0.5), "")
 }
 
-// TestConfigurationsNeverGoBack: an older version is not put in force, however it comes.
-func TestConfigurationsNeverGoBack(t *testing.T) {
+// TestConfigVersionNeverDecreases checks that an older version is not applied, whether it comes in a list or as a
+// change.
+func TestConfigVersionNeverDecreases(t *testing.T) {
 	c := catalog.New()
 	decode := func(o objectapi.Object) (catalog.Config, bool, error) {
 		version, err := strconv.ParseInt(string(o.Value), 10, 64)
 		return catalog.Config{Version: version}, o.Key == "c/main", err
 	}
-	h := catalog.NewConfigHandler(c, "c/", decode, quiet())
+	h := catalog.NewConfigHandler(c, "c/", decode, discardLogger())
 	object := func(key, value string) objectapi.Object { return objectapi.Object{Key: key, Value: []byte(value)} }
 	assert.Assert(t, c.Table() == nil)
 	h.Reset([]objectapi.Object{object("c/other", "99"), object("c/main", "5")}, 1)
@@ -72,39 +73,39 @@
 	assert.Equal(t, c.Table().Config.Version, int64(7))
 }
 
-// TestAgeOfTheConfiguration: it counts from the last word that was certain, never goes back, and is not renewed while the
-// newest configuration can't be read.
-func TestAgeOfTheConfiguration(t *testing.T) {
+// TestConfigAge checks that the age counts from the latest confirmation, and is not renewed while the newest
+// configuration is malformed.
+func TestConfigAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := catalog.New()
 		decode := func(o objectapi.Object) (catalog.Config, bool, error) {
 			version, err := strconv.ParseInt(string(o.Value), 10, 64)
 			return catalog.Config{Version: version}, true, err
 		}
-		h := catalog.NewConfigHandler(c, "c/", decode, quiet())
+		h := catalog.NewConfigHandler(c, "c/", decode, discardLogger())
 		age := func() time.Duration {
 			_, age := c.TableWithAge()
 			return age
 		}
-		assert.Assert(t, age() > 24*time.Hour, "nobody has said anything")
+		assert.Assert(t, age() > 24*time.Hour, "never confirmed")
 		h.Reset([]objectapi.Object{{Key: "c/main", Value: []byte("5")}}, 1)
-		assert.Assert(t, age() > 24*time.Hour, "an old copy is not confirmed")
+		assert.Assert(t, age() > 24*time.Hour, "a list alone confirms nothing")
 		h.Watermark(time.Now().Add(-time.Second))
 		assert.Equal(t, age(), time.Second)
 		h.Watermark(time.Now().Add(-2 * time.Second))
-		assert.Equal(t, age(), time.Second, "a source that knows less takes nothing back")
+		assert.Equal(t, age(), time.Second, "an earlier confirmation must not increase the age")
 		time.Sleep(time.Second)
 		h.Change(objectapi.Event{Object: objectapi.Object{Key: "c/main", Value: []byte("malformed")}})
 		h.Watermark(time.Now())
-		assert.Equal(t, age(), 2*time.Second, "the newest is not in force")
+		assert.Equal(t, age(), 2*time.Second, "a malformed configuration must not be confirmed")
 		h.Change(objectapi.Event{Object: objectapi.Object{Key: "c/main", Value: []byte("7")}})
 		h.Watermark(time.Now())
 		assert.Equal(t, age(), time.Duration(0))
 	})
 }
 
-// TestOrganisationsAreCountedInBoundedNumber: the largest by name, however many there are.
-func TestOrganisationsAreCountedInBoundedNumber(t *testing.T) {
+// TestMetricLabelsAreBounded checks that only the organisations with the highest limits have a label of their own.
+func TestMetricLabelsAreBounded(t *testing.T) {
 	var config catalog.Config
 	for i := range 11_000 {
 		config.Organisations = append(config.Organisations, catalog.Organisation{Name: fmt.Sprint("o", i), Limit: quota.Limit{PerSecond: float64(i)}})
@@ -118,36 +119,36 @@
 	assert.Assert(t, labels["o10999"] && labels[catalog.OthersLabel])
 }
 
-// entries is a handler of servers written as id=service@address.
-func entries(c *catalog.Catalog) *catalog.ServersHandler {
-	return catalog.NewServersHandler(options(c))
+// newHandler returns a handler of entries written as service@address.
+func newHandler(c *catalog.Catalog) *catalog.ServersHandler {
+	return catalog.NewServersHandler(handlerOptions(c))
 }
 
-func options(c *catalog.Catalog) catalog.ServersOptions {
+func handlerOptions(c *catalog.Catalog) catalog.ServersOptions {
 	decode := func(o objectapi.Object) (catalog.Server, error) {
 		service, address, _ := strings.Cut(string(o.Value), "@")
 		return catalog.Server{ID: id(o.Key[2:]), Service: service, Address: address}, nil
 	}
-	return catalog.ServersOptions{Catalog: c, Prefix: "s/", Decode: decode, LeaseExpiry: policy.NewLeaseExpiry(1200 * time.Millisecond), Log: quiet()}
+	return catalog.ServersOptions{Catalog: c, Prefix: "s/", Decode: decode, LeaseExpiry: policy.NewLeaseExpiry(1200 * time.Millisecond), Log: discardLogger()}
 }
 
-// id names the only start of a server.
+// id returns an incarnation of a server that never restarts.
 func id(server string) incarnation.ID { return incarnation.ID{Server: server} }
 
 func entry(name string) objectapi.Object {
 	return objectapi.Object{Key: "s/" + name, Value: []byte("svc@" + name)}
 }
 
-func gone(name string) objectapi.Event {
+func deletion(name string) objectapi.Event {
 	return objectapi.Event{Object: objectapi.Object{Key: "s/" + name}, Deleted: true}
 }
 
-func TestServersFollowTheirEntries(t *testing.T) {
+func TestServersFollowEntries(t *testing.T) {
 	c := catalog.New()
-	h := entries(c)
+	h := newHandler(c)
 	h.Reset([]objectapi.Object{entry("a"), entry("b")}, 1)
 	h.Change(objectapi.Event{Object: entry("c")})
-	h.Change(gone("a"))
+	h.Change(deletion("a"))
 	h.Confirm(2, time.Now())
 	assert.Equal(t, len(c.Servers().Pool("svc").Servers), 2)
 	assert.Assert(t, !c.Servers().Has(id("a")))
@@ -160,19 +161,19 @@
 	assert.Equal(t, c.Servers().Len(), 1)
 }
 
-// TestLapsedEntriesAreHeldAfterAnOutage: an entry that is gone when the store is back stays for as long as a
-// live server needs to renew it, and no longer.
-func TestLapsedEntriesAreHeldAfterAnOutage(t *testing.T) {
+// TestExpiredEntriesKeptForGracePeriodAfterOutage checks that a server whose entry is missing when the store is back
+// is kept for as long as a live server needs to renew its entry, and no longer.
+func TestExpiredEntriesKeptForGracePeriodAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := catalog.New()
-		h := entries(c)
+		h := newHandler(c)
 		h.Reset([]objectapi.Object{entry("back"), entry("dead")}, 1)
 		h.SourceUnavailable()
 		time.Sleep(3 * time.Second)
 		h.SourceUnavailable()
-		assert.Equal(t, c.Servers().Len(), 2, "while nothing is known, the last list holds")
-		h.Change(gone("back"))
-		h.Change(gone("dead"))
+		assert.Equal(t, c.Servers().Len(), 2, "the last list stays in use during an outage")
+		h.Change(deletion("back"))
+		h.Change(deletion("dead"))
 		h.Confirm(5, time.Now())
 		assert.Equal(t, c.Servers().Len(), 2)
 		time.Sleep(2 * time.Second)
@@ -183,16 +184,16 @@
 		h.Confirm(7, time.Now())
 		assert.Assert(t, c.Servers().Has(id("back")))
 		assert.Assert(t, !c.Servers().Has(id("dead")))
-		h.Change(gone("back"))
+		h.Change(deletion("back"))
 		h.Confirm(8, time.Now())
-		assert.Equal(t, c.Servers().Len(), 0, "without an outage an entry that is gone is gone at once")
+		assert.Equal(t, c.Servers().Len(), 0, "without an outage a server is removed with its entry")
 	})
 }
 
-func TestShortGapHoldsNothing(t *testing.T) {
+func TestShortOutageHasNoGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := catalog.New()
-		h := entries(c)
+		h := newHandler(c)
 		h.Reset([]objectapi.Object{entry("a")}, 1)
 		h.Confirm(1, time.Now())
 		h.SourceUnavailable()
@@ -203,20 +204,20 @@
 	})
 }
 
-// TestShortOutageEndsNoHold: a second, short outage follows the first, in which entries lapsed.
-func TestShortOutageEndsNoHold(t *testing.T) {
+// TestShortOutageDoesNotEndGracePeriod checks a second, short outage after a long one in which entries expired.
+func TestShortOutageDoesNotEndGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := catalog.New()
-		h := entries(c)
+		h := newHandler(c)
 		h.Reset([]objectapi.Object{entry("a"), entry("b")}, 1)
 		h.Confirm(1, time.Now())
 		h.SourceUnavailable()
 		time.Sleep(3 * time.Second)
-		h.Change(gone("a"))
+		h.Change(deletion("a"))
 		h.Confirm(2, time.Now())
 		h.SourceUnavailable()
 		time.Sleep(500 * time.Millisecond)
-		h.Change(gone("b"))
+		h.Change(deletion("b"))
 		h.Confirm(3, time.Now())
 		assert.Equal(t, c.Servers().Len(), 2)
 		time.Sleep(1800 * time.Millisecond)
@@ -224,18 +225,19 @@
 	})
 }
 
-// TestHoldEndsByItself: an entry that is not back is gone when the time is over, though no answer comes then.
-func TestHoldEndsByItself(t *testing.T) {
+// TestGracePeriodEndsWithoutConfirmation checks that a server whose entry is not back is removed when the period ends,
+// though the store sends nothing then.
+func TestGracePeriodEndsWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := catalog.New()
-		h := entries(c)
+		h := newHandler(c)
 		h.Reset([]objectapi.Object{entry("dead")}, 1)
 		h.Confirm(1, time.Now())
 		time.Sleep(3 * time.Second)
 		h.SourceUnavailable()
-		h.Change(gone("dead"))
+		h.Change(deletion("dead"))
 		assert.Equal(t, c.Servers().Len(), 1)
-		h.Confirm(2, time.Now().Add(-500*time.Millisecond)) // a mirror had it half a second ago
+		h.Confirm(2, time.Now().Add(-500*time.Millisecond)) // a mirror's state of half a second ago
 		time.Sleep(1600 * time.Millisecond)
 		assert.Equal(t, c.Servers().Len(), 1)
 		time.Sleep(200 * time.Millisecond)
@@ -243,17 +245,17 @@
 	})
 }
 
-// TestOutageNoticedLateIsLong: the store was silent for 3 s, of which 2.5 s passed before anybody noticed.
-func TestOutageNoticedLateIsLong(t *testing.T) {
+// TestOutageCountsFromLastConfirmation checks an outage of 3 s, of which 2.5 s passed before it was detected.
+func TestOutageCountsFromLastConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := catalog.New()
-		h := entries(c)
+		h := newHandler(c)
 		h.Reset([]objectapi.Object{entry("lapsed"), entry("leaving")}, 1)
 		h.Confirm(1, time.Now())
 		time.Sleep(2500 * time.Millisecond)
 		h.SourceUnavailable()
 		time.Sleep(500 * time.Millisecond)
-		h.Change(gone("lapsed"))
+		h.Change(deletion("lapsed"))
 		h.Confirm(2, time.Now())
 		assert.Assert(t, c.Servers().Has(id("lapsed")))
 		time.Sleep(time.Second)
@@ -264,10 +266,10 @@
 	})
 }
 
-// BenchmarkManyServersStart: one batch in which 3,000 servers come.
-func BenchmarkManyServersStart(b *testing.B) {
+// BenchmarkManyServersAdded adds 3,000 servers in one batch.
+func BenchmarkManyServersAdded(b *testing.B) {
 	for b.Loop() {
-		h := entries(catalog.New())
+		h := newHandler(catalog.New())
 		for i := range 3000 {
 			h.Change(objectapi.Event{Object: entry(strconv.Itoa(i))})
 		}
--- a/internal/front/catalog/constraints.go
+++ b/internal/front/catalog/constraints.go
@@ -6,36 +6,37 @@
 	"github.com/rookpass/rookpass/internal/base/incarnation"
 )
 
-// Restriction is why a server may get no request for now. Bars are words for logs and pages.
+// Restriction is why a server may get no requests, or only few, for now. The values appear in logs and status pages.
 type Restriction string
 
-// The bars.
+// The restrictions.
 const (
 	// Unrestricted servers may get requests.
 	Unrestricted Restriction = ""
-	// RestrictedDraining servers have said that they leave.
+	// RestrictedDraining servers are shutting down.
 	RestrictedDraining Restriction = "draining"
-	// RestrictedEvacuated servers stand in a data centre that is to get nothing further.
+	// RestrictedEvacuated servers are in a data centre that gets no further requests.
 	RestrictedEvacuated Restriction = "evacuated"
-	// RestrictedRegion servers stand in a region to which the request must not go.
+	// RestrictedRegion servers are in a region to which the request must not go.
 	RestrictedRegion Restriction = "forbidden"
-	// RestrictedCold servers have just started, and bear few requests.
+	// RestrictedCold servers have just started and can take only a few requests.
 	RestrictedCold Restriction = "cold"
 )
 
-// Constraints are what servers may be used under for one request at one time. The zero value bars those alone that drain.
+// Constraints determine which servers one request may use at one time. With the zero value only draining servers are
+// restricted.
 type Constraints struct {
-	// Evacuated are the data centres that are to get nothing further.
+	// Evacuated are the data centres that get no further requests.
 	Evacuated map[string]bool
-	// AllowedRegions are the regions to which the request may go, nil for all; Regions has those of data centres.
+	// AllowedRegions are the regions to which the request may go. Regions has the region of each data centre.
 	AllowedRegions AllowedRegions
 	Regions        map[string]string
-	// ColdUntil is when servers will no longer be cold; nil where their service bears as much as ever.
+	// ColdUntil is the time until which each cold server is cold; nil if the service has no limit for cold servers.
 	ColdUntil map[incarnation.ID]time.Time
 	Now       time.Time
 }
 
-// Restriction returns why a server may get no request.
+// Restriction returns the restriction of a server.
 func (t *Constraints) Restriction(server *Server) Restriction {
 	switch {
 	case server.Draining:
@@ -49,7 +50,7 @@
 	}
 }
 
-// DataCentreRestriction returns why no server of a data centre may get a request.
+// DataCentreRestriction returns the restriction that applies to all servers of a data centre.
 func (t *Constraints) DataCentreRestriction(dataCentre string) Restriction {
 	switch {
 	case t.Evacuated[dataCentre]:
@@ -61,10 +62,10 @@
 	}
 }
 
-// AllowedRegions are regions to which requests are bound; nil for none.
+// AllowedRegions is a set of regions to which requests may go; nil allows all regions.
 type AllowedRegions map[string]bool
 
-// NewAllowedRegions returns the homes named, nil where there are none.
+// NewAllowedRegions returns the set of the given regions, or nil if there are none.
 func NewAllowedRegions(regions []string) AllowedRegions {
 	if len(regions) == 0 {
 		return nil
@@ -76,10 +77,10 @@
 	return h
 }
 
-// Allow tells whether requests may go to a region.
+// Allow reports whether requests may go to a region.
 func (h AllowedRegions) Allow(region string) bool { return h == nil || h[region] }
 
-// Intersect returns the regions that both allow.
+// Intersect returns the regions that both sets allow.
 func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
 	if h == nil {
 		return other
@@ -93,7 +94,8 @@
 	return both
 }
 
-// Constraints returns the terms of a request that may go to some homes.
+// Constraints returns the constraints of a request at one time. coldBounded is set if the request's service limits the
+// requests to cold servers.
 func (s *ServerSnapshot) Constraints(now time.Time, homes AllowedRegions, coldBounded bool) Constraints {
 	t := Constraints{Evacuated: s.evacuated, AllowedRegions: homes, Regions: s.regions, Now: now}
 	if coldBounded {
--- a/internal/front/catalog/constraints_test.go
+++ b/internal/front/catalog/constraints_test.go
@@ -11,7 +11,7 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-func TestBars(t *testing.T) {
+func TestRestrictions(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	regions := map[string]string{"a1": "a", "b1": "b", "b2": "b"}
 	at := func(dataCentre string) catalog.Server { return catalog.Server{ID: id("s"), DataCentre: dataCentre} }
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestColdServersWarm: by the word of their entries, each of which tells how long is left.
-func TestColdServersWarm(t *testing.T) {
+// TestColdServersWarmUp checks that servers are cold for the time that their entries state.
+func TestColdServersWarmUp(t *testing.T) {
 	c := catalog.New()
-	o := options(c)
+	o := handlerOptions(c)
 	o.Decode = func(object objectapi.Object) (catalog.Server, error) {
 		server := catalog.Server{ID: id(object.Key[2:]), Service: "svc", DataCentre: "a"}
 		if string(object.Value) == "cold" {
@@ -61,20 +61,21 @@
 	assert.Equal(t, bar(0), catalog.RestrictedCold)
 	assert.Equal(t, bar(3*time.Second), catalog.Unrestricted)
 	unbounded := c.Servers().Constraints(time.Now(), nil, false)
-	assert.Equal(t, unbounded.Restriction(c.Servers().Server(id("s"))), catalog.Unrestricted, "where its service says no bound")
+	assert.Equal(t, unbounded.Restriction(c.Servers().Server(id("s"))), catalog.Unrestricted, "the service has no limit for cold servers")
 	h.Change(objectapi.Event{Object: objectapi.Object{Key: "s/s", Version: 2, Value: []byte("warm")}})
 	h.Confirm(2, time.Now())
 	assert.Equal(t, bar(0), catalog.Unrestricted)
 	h.Change(objectapi.Event{Object: objectapi.Object{Key: "s/s", Version: 3, Value: []byte("cold")}})
 	h.Confirm(3, time.Now())
-	assert.Equal(t, bar(0), catalog.RestrictedCold, "a server may turn cold again")
+	assert.Equal(t, bar(0), catalog.RestrictedCold, "a server may become cold again")
 }
 
-// TestServersReturnAsCold: until their entries had the time to tell whether they are.
-func TestServersReturnAsCold(t *testing.T) {
+// TestServersAreColdAfterEvacuation checks that servers count as cold after an evacuation is cancelled, until their
+// entries have been renewed.
+func TestServersAreColdAfterEvacuation(t *testing.T) {
 	c := catalog.New()
-	h := catalog.NewServersHandler(placed(c, "hall-0"))
-	h.Reset([]objectapi.Object{writtenEntry(2, 1), writtenEntry(3, 1)}, 1)
+	h := catalog.NewServersHandler(optionsIn(c, "hall-0"))
+	h.Reset([]objectapi.Object{wireEntry(2, 1), wireEntry(3, 1)}, 1)
 	h.SetEvacuated("hall-2", true)
 	h.SetEvacuated("hall-2", false)
 	bars := func(after time.Duration) (returned, other catalog.Restriction) {
@@ -88,13 +89,13 @@
 	assert.Equal(t, returned, catalog.Unrestricted)
 }
 
-// TestEvacuatedDataCentreHasNoSlots, and is in use again once the evacuation is taken back.
+// TestEvacuatedDataCentreHasNoSlots also checks that the slots are back once the evacuation is cancelled.
 func TestEvacuatedDataCentreHasNoSlots(t *testing.T) {
 	c := catalog.New()
-	h := catalog.NewServersHandler(placed(c, "hall-0"))
+	h := catalog.NewServersHandler(optionsIn(c, "hall-0"))
 	var objects []objectapi.Object
 	for i := range 20 {
-		objects = append(objects, writtenEntry(i, 1))
+		objects = append(objects, wireEntry(i, 1))
 	}
 	h.Reset(objects, 1)
 	slots := func() int {
@@ -106,7 +107,7 @@
 	h.SetEvacuated("hall-2", true)
 	assert.Equal(t, slots(), all-12)
 	assert.DeepEqual(t, h.Evacuated(), []string{"hall-2"})
-	h.Change(objectapi.Event{Object: writtenEntry(21, 2)}) // an entry that comes meanwhile takes nothing back
+	h.Change(objectapi.Event{Object: wireEntry(21, 2)}) // a new entry must not end the evacuation
 	h.Confirm(2, time.Now())
 	assert.Equal(t, slots(), all-12)
 	h.SetEvacuated("hall-2", false)
--- a/internal/front/catalog/entry.go
+++ b/internal/front/catalog/entry.go
@@ -7,28 +7,28 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// RefusalReason is why an entry of the list of servers names no server to use. Entries may come from writers that are no
-// servers; such a one takes its server out of use and harms no other.
+// RefusalReason is why an entry of the list of servers was refused. Other programs may write to the list; an invalid
+// entry takes only its own server out of use.
 type RefusalReason string
 
-// The reasons.
+// The refusal reasons.
 const (
-	// RefusedUnreadable entries are not the encoding of a set of fields.
+	// RefusedUnreadable entries do not encode a set of fields.
 	RefusedUnreadable RefusalReason = "unreadable"
-	// RefusedFieldMissing entries lack a field that servers always write.
+	// RefusedFieldMissing entries lack a mandatory field.
 	RefusedFieldMissing RefusalReason = "field-missing"
-	// RefusedFieldMistyped entries have a field of another type, or beyond what the field may hold.
+	// RefusedFieldMistyped entries have a field of a wrong type or out of range.
 	RefusedFieldMistyped RefusalReason = "field-mistyped"
-	// RefusedUnknownState entries name a state that is not known.
+	// RefusedUnknownState entries have an unknown state.
 	RefusedUnknownState RefusalReason = "unknown-state"
 )
 
-// EntryError tells why an entry names no server to use.
+// EntryError is the error of an invalid entry.
 type EntryError struct {
 	Reason RefusalReason
-	// Field is the field that is wrong; empty for RefusedUnreadable.
+	// Field is the invalid field; empty for RefusedUnreadable.
 	Field string
-	// Err is the cause, or nil where the reason says all.
+	// Err is the cause, or nil.
 	Err error
 }
 
@@ -50,8 +50,8 @@
 // DecodeServer decodes a server's entry. Its errors are of type *EntryError.
 type DecodeServer func(objectapi.Object) (Server, error)
 
-// refusalOf returns the reason that an error of DecodeServer names.
-func refusalOf(err error) RefusalReason {
+// refusalReasonOf returns the reason of an error of DecodeServer, or RefusedUnreadable for errors of other types.
+func refusalReasonOf(err error) RefusalReason {
 	var refused *EntryError
 	if errors.As(err, &refused) {
 		return refused.Reason
@@ -59,23 +59,23 @@
 	return RefusedUnreadable
 }
 
-// entry is what the list holds under one name. Views point to its server, which never changes.
+// entry is a decoded entry of the list of servers. Snapshots point to its server, which is never modified.
 type entry struct {
-	// server is the server described; the zero value where the entry is refused.
+	// server is the decoded server; the zero value if the entry was refused.
 	server   Server
 	revision uint64
 }
 
-// start names the start of the server described; the zero value where there is none.
-func (e *entry) start() incarnation.ID {
+// incarnationID returns the server's incarnation, or the zero value if there is no entry or it was refused.
+func (e *entry) incarnationID() incarnation.ID {
 	if e == nil {
 		return incarnation.ID{}
 	}
 	return e.server.ID
 }
 
-// inUse returns the server described, or nil where the entry is refused.
-func (e *entry) inUse() *Server {
+// usableServer returns the server, or nil if the entry was refused.
+func (e *entry) usableServer() *Server {
 	if e.server.ID.IsZero() {
 		return nil
 	}
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -15,56 +15,60 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// ServersOptions are what a ServersHandler works with.
+// ServersOptions configure a ServersHandler.
 type ServersOptions struct {
 	Catalog *Catalog
-	// Topology is where this daemon stands.
+	// Topology is this daemon's location.
 	Topology place.Topology
-	// Prefix is the part of a key before a server's name.
+	// Prefix is the part of a key before the server's name.
 	Prefix      string
 	Decode      DecodeServer
 	LeaseExpiry policy.LeaseExpiry
 	Log         logrus.FieldLogger
-	// OnRefused is told of each entry that names no server to use, Started of each start of a server that is new here.
-	// Both are called with the handler locked; nil where nobody asks.
+	// OnRefused is called for each refused entry, OnStarted for each new incarnation of a server. Both are optional
+	// and called with the handler locked.
 	OnRefused func(RefusalReason)
 	OnStarted func(incarnation.ID)
 }
 
-// ServersHandler keeps the servers of a watch. An entry that is gone right after an outage of the store is kept until
-// its server had the time to renew it, since entries lapse while their servers can't.
+// ServersHandler is a watch handler that maintains the catalog's backend servers. Entries expire during an outage of
+// the store because servers can't renew them, so a server whose entry is missing after an outage is kept for a grace
+// period.
 type ServersHandler struct {
 	ServersOptions
 
 	mu sync.Mutex
-	// entries has what the list holds, by name; held and missing are servers that are in use without an entry.
+	// entries has the listed entries by server name. Servers of inGrace have no entry and are used until graceUntil.
 	entries  map[string]*entry
-	held     map[string]*Server
+	inGrace  map[string]*Server
 	revision uint64
-	// first tells that the first list is taken in: it is logged as a whole, not server by server.
-	first bool
-	// changed has the names of servers that may differ from what is published.
+	// initialList is set while the first list is applied, which is logged as a whole.
+	initialList bool
+	// changed has the names of servers that may differ from the published snapshot.
 	changed map[string]bool
-	// lost tells that the store does not answer; missing are entries of which nobody can say before it has.
-	lost    bool
-	missing map[string]*Server
-	// refused has why entries name no server; cold until when servers are whose entries say so; evacuated the data centres
-	// that are to get nothing.
-	refused   map[string]RefusalReason
-	cold      map[string]time.Time
-	evacuated map[string]bool
-	// returning has until when servers of a data centre count as cold whose evacuation was taken back: they may have gone cold
-	// before, and their entries tell of it only with their next heartbeat.
-	returning map[string]time.Time
-	// confirmed is when the store said last that the entries were whole; missing ones are held until holding.
-	confirmed, holding time.Time
+	// outage is set while the store does not answer. deletedInOutage has the servers whose entries were deleted
+	// meanwhile; they stay in use until the outage ends.
+	outage          bool
+	deletedInOutage map[string]*Server
+	// refusals has the reason for each refused entry. coldByName has the time until which a server is cold. evacuated
+	// are the data centres that get no further requests.
+	refusals   map[string]RefusalReason
+	coldByName map[string]time.Time
+	evacuated  map[string]bool
+	// assumedColdUntil has the data centres whose evacuation was cancelled, and the time until which their servers
+	// count as cold. They may have become cold during the evacuation, which their entries report only with the next
+	// heartbeat.
+	assumedColdUntil map[string]time.Time
+	// confirmedAt is when the store last confirmed that the entries are complete. Servers of inGrace are kept until
+	// graceUntil.
+	confirmedAt, graceUntil time.Time
 }
 
-// NewServersHandler returns a handler that knows no server yet.
+// NewServersHandler returns a handler without servers.
 func NewServersHandler(o ServersOptions) *ServersHandler {
-	return &ServersHandler{ServersOptions: o, entries: map[string]*entry{}, held: map[string]*Server{}, changed: map[string]bool{},
-		missing: map[string]*Server{}, refused: map[string]RefusalReason{}, cold: map[string]time.Time{}, evacuated: map[string]bool{},
-		returning: map[string]time.Time{}}
+	return &ServersHandler{ServersOptions: o, entries: map[string]*entry{}, inGrace: map[string]*Server{}, changed: map[string]bool{},
+		deletedInOutage: map[string]*Server{}, refusals: map[string]RefusalReason{}, coldByName: map[string]time.Time{}, evacuated: map[string]bool{},
+		assumedColdUntil: map[string]time.Time{}}
 }
 
 // Prefix implements watch.Handler.
@@ -76,36 +80,37 @@
 	defer h.mu.Unlock()
 	old := h.entries
 	h.entries = make(map[string]*entry, len(objects))
-	h.first = h.revision == 0
+	h.initialList = h.revision == 0
 	for _, object := range objects {
-		h.set(object, old)
+		h.putEntry(object, old)
 	}
 	for name, e := range old {
 		if _, there := h.entries[name]; !there {
-			h.gone(name, e.inUse())
+			h.entryDeleted(name, e.usableServer())
 		}
 	}
 	h.revision = version
 	h.publish()
-	if h.first {
-		h.first = false
+	if h.initialList {
+		h.initialList = false
 		h.Log.WithFields(logrus.Fields{"event": "servers-listed", "revision": version, "entries": len(objects),
-			"servers": h.Catalog.Servers().Len()}).Info("first list of servers in force")
+			"servers": h.Catalog.Servers().Len()}).Info("initial list of servers applied")
 	}
 }
 
-// Change implements watch.Handler. Requests see it with the Confirm that follows: a batch may hold thousands.
+// Change implements watch.Handler. The change is published by the next Confirm, since a batch may have thousands of
+// changes.
 func (h *ServersHandler) Change(event objectapi.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !event.Deleted {
-		h.set(event.Object, h.entries)
+		h.putEntry(event.Object, h.entries)
 		return
 	}
-	name := h.name(event.Key)
+	name := h.serverName(event.Key)
 	if e, there := h.entries[name]; there {
 		delete(h.entries, name)
-		h.gone(name, e.inUse())
+		h.entryDeleted(name, e.usableServer())
 	}
 }
 
@@ -113,10 +118,10 @@
 func (h *ServersHandler) Confirm(version uint64, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.lost {
-		h.regain(at)
+	if h.outage {
+		h.endOutage(at)
 	}
-	h.confirmed = at
+	h.confirmedAt = at
 	h.revision = max(h.revision, version)
 	if len(h.changed) > 0 {
 		h.publish()
@@ -127,67 +132,67 @@
 func (h *ServersHandler) SourceUnavailable() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.lost {
-		h.lost = true
-		h.Log.WithFields(logrus.Fields{"event": "servers-lost", "revision": h.revision, "servers": len(h.entries)}).Warn("list of servers no longer confirmed")
+	if !h.outage {
+		h.outage = true
+		h.Log.WithFields(logrus.Fields{"event": "servers-lost", "revision": h.revision, "servers": len(h.entries)}).Warn("store does not answer; list of servers may be stale")
 	}
 }
 
-// regain notes the end of an outage, and decides on the entries that are missing. It is called with the lock held.
-func (h *ServersHandler) regain(at time.Time) {
-	h.lost = false
-	if holding := h.LeaseExpiry.GraceUntil(h.confirmed, at); holding.After(h.holding) {
-		// A short outage right behind a long one does not end what is held over the long one.
-		h.holding = holding
+// endOutage starts the grace period for servers whose entries were deleted during the outage. The caller holds h.mu.
+func (h *ServersHandler) endOutage(at time.Time) {
+	h.outage = false
+	if holding := h.LeaseExpiry.GraceUntil(h.confirmedAt, at); holding.After(h.graceUntil) {
+		// A short outage must not end the grace period of a preceding long one.
+		h.graceUntil = holding
 	}
-	left := time.Until(h.holding)
+	left := time.Until(h.graceUntil)
 	if left > 0 {
-		// Not with the next answer, which may be a second away: until then requests would go to servers that have left.
-		time.AfterFunc(left, h.expire)
+		// A timer, since the store's next answer may come later and requests would go to dead servers until then.
+		time.AfterFunc(left, h.expireGrace)
 	}
-	fields := logrus.Fields{"event": "servers-regained", "missing": len(h.missing), "holding_ms": max(0, left.Milliseconds())}
-	if !h.confirmed.IsZero() {
-		fields["unconfirmed_ms"] = at.Sub(h.confirmed).Milliseconds()
+	fields := logrus.Fields{"event": "servers-regained", "missing": len(h.deletedInOutage), "holding_ms": max(0, left.Milliseconds())}
+	if !h.confirmedAt.IsZero() {
+		fields["unconfirmed_ms"] = at.Sub(h.confirmedAt).Milliseconds()
 	}
-	h.Log.WithFields(fields).Info("list of servers confirmed again")
-	for name, server := range h.missing {
-		h.gone(name, server)
+	h.Log.WithFields(fields).Info("store answers again; list of servers confirmed")
+	for name, server := range h.deletedInOutage {
+		h.entryDeleted(name, server)
 	}
-	clear(h.missing)
+	clear(h.deletedInOutage)
 }
 
-// expire removes the servers whose entries are not back.
-func (h *ServersHandler) expire() {
+// expireGrace removes the servers that have no entry when the grace period ends.
+func (h *ServersHandler) expireGrace() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.held) == 0 || time.Now().Before(h.holding) {
-		return // all are back, or another outage has ended meanwhile
+	if len(h.inGrace) == 0 || time.Now().Before(h.graceUntil) {
+		return // all entries are back, or a later outage extended the grace period
 	}
-	for name, server := range h.held {
+	for name, server := range h.inGrace {
 		h.changed[name] = true
-		h.Log.WithFields(logrus.Fields{"event": "server-gone", "server": server.ID, "why": "lapsed and not back"}).Info("server removed")
+		h.Log.WithFields(logrus.Fields{"event": "server-gone", "server": server.ID, "why": "lapsed and not back"}).Info("server removed after grace period")
 	}
-	clear(h.held)
+	clear(h.inGrace)
 	h.publish()
 }
 
-func (h *ServersHandler) name(key string) string { return key[len(h.Prefix()):] }
+func (h *ServersHandler) serverName(key string) string { return key[len(h.Prefix()):] }
 
-// set takes in an object of the list; old is what was known before.
-func (h *ServersHandler) set(object objectapi.Object, old map[string]*entry) {
-	name := h.name(object.Key)
+// putEntry applies an object of the list; old has the entries before the list or change.
+func (h *ServersHandler) putEntry(object objectapi.Object, old map[string]*entry) {
+	name := h.serverName(object.Key)
 	before, known := old[name]
 	if known && object.Version < before.revision {
-		// A change that the last list held already, told again. The store's revisions order a server's entries, not its
-		// word of its start: the clock of its VM may have been set back between two starts.
+		// A stale change that the last list already included. Entries of a server are ordered by the store's revisions,
+		// not by start time, as the VM's clock may have been set back between two starts.
 		h.entries[name] = before
 		return
 	}
-	delete(h.held, name)
-	delete(h.missing, name)
+	delete(h.inGrace, name)
+	delete(h.deletedInOutage, name)
 	h.changed[name] = true
 	server, err := h.Decode(object)
-	h.noteCold(name, server.ColdRemaining)
+	h.recordCold(name, server.ColdRemaining)
 	server.ColdRemaining = 0
 	if err == nil && known && before.server == server {
 		before.revision = object.Version
@@ -197,140 +202,140 @@
 	now := &entry{revision: object.Version}
 	h.entries[name] = now
 	if err != nil {
-		h.refuse(name, before, now, err)
+		h.recordRefusal(name, before, now, err)
 		return
 	}
-	delete(h.refused, name)
-	now.server = shared(server)
-	h.enter(before, now)
+	delete(h.refusals, name)
+	now.server = internStrings(server)
+	h.notifyChanged(before, now)
 }
 
-// noteCold remembers until when a server is cold whose entry says for how long.
-func (h *ServersHandler) noteCold(name string, left time.Duration) {
+// recordCold records the time until which a server is cold.
+func (h *ServersHandler) recordCold(name string, left time.Duration) {
 	if left <= 0 {
-		delete(h.cold, name)
+		delete(h.coldByName, name)
 		return
 	}
-	h.cold[name] = time.Now().Add(left) // the entry is older than its coming here: this errs towards the server
+	h.coldByName[name] = time.Now().Add(left) // overestimates by the age of the entry
 }
 
-// coldUntil returns the servers that are cold, and until when.
+// coldUntil returns the time until which each cold server is cold, and drops servers that no longer are.
 func (h *ServersHandler) coldUntil(now time.Time) map[incarnation.ID]time.Time {
 	cold := map[incarnation.ID]time.Time{}
-	for name, until := range h.cold {
+	for name, until := range h.coldByName {
 		if e := h.entries[name]; e != nil && now.Before(until) {
-			cold[e.start()] = until
+			cold[e.incarnationID()] = until
 		} else {
-			delete(h.cold, name)
+			delete(h.coldByName, name)
 		}
 	}
-	for dataCentre, until := range h.returning {
+	for dataCentre, until := range h.assumedColdUntil {
 		if !now.Before(until) {
-			delete(h.returning, dataCentre)
+			delete(h.assumedColdUntil, dataCentre)
 			continue
 		}
 		for _, e := range h.entries {
-			if e.server.DataCentre == dataCentre && until.After(cold[e.start()]) {
-				cold[e.start()] = until
+			if e.server.DataCentre == dataCentre && until.After(cold[e.incarnationID()]) {
+				cold[e.incarnationID()] = until
 			}
 		}
 	}
 	return cold
 }
 
-// SetEvacuated tells whether a data centre is to get nothing further.
+// SetEvacuated sets whether a data centre is evacuated: its servers get no further requests.
 func (h *ServersHandler) SetEvacuated(dataCentre string, evacuated bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.evacuated[dataCentre] == evacuated {
 		return
 	}
-	h.evacuated = maps.Clone(h.evacuated) // views hold the one before
+	h.evacuated = maps.Clone(h.evacuated) // snapshots share the previous map
 	if evacuated {
 		h.evacuated[dataCentre] = true
 	} else {
 		delete(h.evacuated, dataCentre)
-		h.returning[dataCentre] = time.Now().Add(h.LeaseExpiry.Renewal)
+		h.assumedColdUntil[dataCentre] = time.Now().Add(h.LeaseExpiry.Renewal)
 	}
-	h.Log.WithFields(logrus.Fields{"event": "evacuation", "data_centre": dataCentre, "evacuated": evacuated}).Info("evacuation in force")
+	h.Log.WithFields(logrus.Fields{"event": "evacuation", "data_centre": dataCentre, "evacuated": evacuated}).Info("evacuation changed")
 	h.publish()
 }
 
-// Evacuated returns the data centres that are to get nothing further.
+// Evacuated returns the evacuated data centres, sorted.
 func (h *ServersHandler) Evacuated() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Sorted(maps.Keys(h.evacuated))
 }
 
-// shared returns a server whose words that many servers have in common are held once.
-func shared(s Server) Server {
+// internStrings returns a server whose service and data centre names share memory with those of other servers.
+func internStrings(s Server) Server {
 	s.Service = unique.Make(s.Service).Value()
 	s.DataCentre = unique.Make(s.DataCentre).Value()
 	return s
 }
 
-// enter notes a server's entry that differs from the one before.
-func (h *ServersHandler) enter(before, now *entry) {
+// notifyChanged logs a changed entry, and calls OnStarted if it is of a new incarnation.
+func (h *ServersHandler) notifyChanged(before, now *entry) {
 	server := now.server
-	if !h.first {
+	if !h.initialList {
 		h.Log.WithFields(logrus.Fields{"event": "server", "server": server.ID, "service": server.Service, "address": server.Address,
-			"draining": server.Draining, "revision": now.revision}).Info("server's entry in force")
+			"draining": server.Draining, "revision": now.revision}).Info("server entry applied")
 	}
-	if h.OnStarted != nil && before.start() != server.ID {
+	if h.OnStarted != nil && before.incarnationID() != server.ID {
 		h.OnStarted(server.ID)
 	}
 }
 
-// refuse notes an entry that names no server to use. One that is written again for the same reason is only counted.
-func (h *ServersHandler) refuse(name string, before, now *entry, err error) {
-	reason, last := refusalOf(err), h.refused[name]
-	h.refused[name] = reason
+// recordRefusal counts a refused entry, and logs it unless the server's last entry was refused for the same reason.
+func (h *ServersHandler) recordRefusal(name string, before, now *entry, err error) {
+	reason, last := refusalReasonOf(err), h.refusals[name]
+	h.refusals[name] = reason
 	if h.OnRefused != nil {
 		h.OnRefused(reason)
 	}
 	if before != nil && last == reason {
 		return
 	}
-	h.Log.WithFields(logrus.Fields{"event": "server-refused", "server": name, "in_use": before.start(), "revision": now.revision,
-		"reason": reason, "error": err}).Warn("entry names no server to use")
+	h.Log.WithFields(logrus.Fields{"event": "server-refused", "server": name, "in_use": before.incarnationID(), "revision": now.revision,
+		"reason": reason, "error": err}).Warn("invalid server entry; server not used")
 }
 
-// gone removes a server whose entry is missing, keeps it for a while, or leaves that to the end of the outage. A refused
-// entry leaves nothing behind.
-func (h *ServersHandler) gone(name string, server *Server) {
+// entryDeleted handles a deleted entry of a server, which is nil if the entry was refused. The server is removed, or
+// kept while the outage or the grace period lasts unless it was draining.
+func (h *ServersHandler) entryDeleted(name string, server *Server) {
 	h.changed[name] = true
-	delete(h.refused, name)
+	delete(h.refusals, name)
 	if server == nil {
 		return
 	}
 	why := "entry gone"
 	switch {
-	case h.lost && !server.Draining:
-		h.missing[name] = server
+	case h.outage && !server.Draining:
+		h.deletedInOutage[name] = server
 		why = "entry missing in an outage"
-	case time.Now().Before(h.holding) && !server.Draining:
-		h.held[name] = server
+	case time.Now().Before(h.graceUntil) && !server.Draining:
+		h.inGrace[name] = server
 		why = "held after an outage"
 	}
-	h.Log.WithFields(logrus.Fields{"event": "server-gone", "server": server.ID, "address": server.Address, "why": why}).Info("server's entry gone")
+	h.Log.WithFields(logrus.Fields{"event": "server-gone", "server": server.ID, "address": server.Address, "why": why}).Info("server entry deleted")
 }
 
-// publish makes the servers known to requests. It is called with the lock held.
+// publish stores a new snapshot in the catalog. The caller holds h.mu.
 func (h *ServersHandler) publish() {
-	view := h.Catalog.Servers().with(h.revision, h.Topology, h.changed, h.inUse)
+	view := h.Catalog.Servers().withChanges(h.revision, h.Topology, h.changed, h.usableServer)
 	view.evacuated, view.regions, view.coldUntil = h.evacuated, h.Topology.Regions, h.coldUntil(time.Now())
 	h.Catalog.servers.Store(view)
-	h.changed = map[string]bool{} // not cleared: it would keep the room of the largest batch
+	h.changed = map[string]bool{} // a cleared map would keep the memory of the largest batch
 }
 
-// inUse returns the server that requests may use under a name, or nil.
-func (h *ServersHandler) inUse(name string) *Server {
+// usableServer returns the server with a name that requests may use, or nil.
+func (h *ServersHandler) usableServer(name string) *Server {
 	if e, listed := h.entries[name]; listed {
-		return e.inUse()
+		return e.usableServer()
 	}
-	if server := h.held[name]; server != nil {
+	if server := h.inGrace[name]; server != nil {
 		return server
 	}
-	return h.missing[name]
+	return h.deletedInOutage[name]
 }
--- a/internal/front/catalog/snapshot_test.go
+++ b/internal/front/catalog/snapshot_test.go
@@ -15,18 +15,18 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// TestViewsFollowEveryChange: however entries come, move and go, a view holds just those that are there, each service's in
-// an order that depends on nothing but the servers and the data centre.
-func TestViewsFollowEveryChange(t *testing.T) {
+// TestSnapshotMatchesEntries checks that after random changes a snapshot holds exactly the servers that have an entry,
+// in an order that does not depend on the order of changes.
+func TestSnapshotMatchesEntries(t *testing.T) {
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		c, other := catalog.New(), catalog.New()
-		h := catalog.NewServersHandler(placed(c, "hall-0"))
-		late := catalog.NewServersHandler(placed(other, "hall-0"))
+		h := catalog.NewServersHandler(optionsIn(c, "hall-0"))
+		late := catalog.NewServersHandler(optionsIn(other, "hall-0"))
 		there := map[string]objectapi.Object{}
 		for version := uint64(1); version < 60; version++ {
 			for range r.IntN(6) {
-				object := writtenEntry(r.IntN(40), version)
+				object := wireEntry(r.IntN(40), version)
 				if r.IntN(3) == 0 {
 					delete(there, object.Key)
 					h.Change(objectapi.Event{Object: objectapi.Object{Key: object.Key}, Deleted: true})
@@ -45,9 +45,9 @@
 	}
 }
 
-func placed(c *catalog.Catalog, dataCentre string) catalog.ServersOptions {
-	o := options(c)
-	o.Decode, o.Topology = decodeWritten, place.Topology{DataCentre: dataCentre}
+func optionsIn(c *catalog.Catalog, dataCentre string) catalog.ServersOptions {
+	o := handlerOptions(c)
+	o.Decode, o.Topology = decodeWireServer, place.Topology{DataCentre: dataCentre}
 	return o
 }
 
@@ -56,7 +56,7 @@
 	assert.Equal(t, view.Len(), len(there))
 	slots, names := map[string]int{}, map[string]int{}
 	for _, object := range there {
-		server, err := decodeWritten(object)
+		server, err := decodeWireServer(object)
 		assert.NilError(t, err)
 		address, known := view.Address(server.ID)
 		assert.Assert(t, known)
@@ -71,21 +71,22 @@
 		assert.Equal(t, total, slots[service])
 		local := true
 		for _, server := range fleet.Servers {
-			assert.Assert(t, local || server.DataCentre != "hall-0", "a server of this data centre behind one of another")
+			assert.Assert(t, local || server.DataCentre != "hall-0", "a local server follows one of another data centre")
 			local = server.DataCentre == "hall-0"
 		}
 	}
 }
 
-// TestDaemonsOfADataCentreAgreeOnTheOrder, and those of another have its servers in the same order among themselves.
-func TestDaemonsOfADataCentreAgreeOnTheOrder(t *testing.T) {
+// TestServerOrderIsSameOnAllDaemons checks that daemons in different data centres have the servers of a third one in
+// the same order.
+func TestServerOrderIsSameOnAllDaemons(t *testing.T) {
 	orders := map[string][]string{}
 	for _, dataCentre := range []string{"hall-0", "hall-1"} {
 		c := catalog.New()
-		h := catalog.NewServersHandler(placed(c, dataCentre))
+		h := catalog.NewServersHandler(optionsIn(c, dataCentre))
 		var objects []objectapi.Object
 		for i := range 200 {
-			objects = append(objects, writtenEntry(i, 1))
+			objects = append(objects, wireEntry(i, 1))
 		}
 		h.Reset(objects, 1)
 		for _, server := range c.Servers().Pool("service-0").Servers {
--- a/internal/front/catalog/view.go
+++ b/internal/front/catalog/view.go
@@ -10,12 +10,12 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// Catalog holds the view that requests read.
+// Catalog holds the current configuration and server snapshot.
 type Catalog struct {
 	table atomic.Pointer[Table]
-	// certain is up to when the table certainly holds every change; nil where that is not known.
-	certain atomic.Pointer[time.Time]
-	servers atomic.Pointer[ServerSnapshot]
+	// confirmedAt is the time up to which the table is known to include every change; nil if that is unknown.
+	confirmedAt atomic.Pointer[time.Time]
+	servers     atomic.Pointer[ServerSnapshot]
 }
 
 // New returns an empty catalog.
@@ -25,40 +25,41 @@
 	return c
 }
 
-// Table returns the configuration in force, or nil before the first.
+// Table returns the current configuration, or nil before the first.
 func (c *Catalog) Table() *Table { return c.table.Load() }
 
-// TableWithAge returns the configuration in force, or nil before the first, and how old it may be: every change made longer
-// ago is in it. The age is neverConfirmed where nobody can say.
+// TableWithAge returns the current configuration, or nil before the first, and its maximum age: it includes every
+// change made longer ago than that. The age is unknownAge if the configuration was never confirmed.
 func (c *Catalog) TableWithAge() (*Table, time.Duration) {
-	certain := c.certain.Load() // before the table, which is at least as new
+	certain := c.confirmedAt.Load() // loaded first, so that the table is at least as new
 	table := c.table.Load()
 	if certain == nil {
-		return table, neverConfirmed
+		return table, unknownAge
 	}
 	return table, time.Since(*certain)
 }
 
-// neverConfirmed is the age of a configuration of which nobody has said that it is the newest.
-const neverConfirmed = time.Duration(math.MaxInt64)
+// unknownAge is the age of a configuration that was never confirmed to be the newest.
+const unknownAge = time.Duration(math.MaxInt64)
 
-// Servers returns the servers known.
+// Servers returns the current snapshot of the backend servers.
 func (c *Catalog) Servers() *ServerSnapshot { return c.servers.Load() }
 
-// DecodeConfig decodes an object; false means that it holds no configuration.
+// DecodeConfig decodes an object. It returns false if the object is no configuration.
 type DecodeConfig func(objectapi.Object) (Config, bool, error)
 
-// ConfigHandler puts each newer configuration of a watch in force.
+// ConfigHandler is a watch handler that applies each newer configuration to a catalog.
 type ConfigHandler struct {
 	catalog *Catalog
 	prefix  string
 	decode  DecodeConfig
 	log     logrus.FieldLogger
-	// unread tells that the newest configuration can't be read, so that the one in force is not the newest.
-	unread bool
+	// newestMalformed is set if the newest configuration could not be decoded, so that the current one is not the
+	// newest.
+	newestMalformed bool
 }
 
-// NewConfigHandler returns a handler of the configurations below a prefix.
+// NewConfigHandler returns a handler of the configurations below a key prefix.
 func NewConfigHandler(c *Catalog, prefix string, decode DecodeConfig, log logrus.FieldLogger) *ConfigHandler {
 	return &ConfigHandler{catalog: c, prefix: prefix, decode: decode, log: log}
 }
@@ -85,11 +86,11 @@
 
 // Watermark implements watch.CertainHandler.
 func (h *ConfigHandler) Watermark(at time.Time) {
-	last := h.catalog.certain.Load()
-	if h.unread || last != nil && !at.After(*last) {
+	last := h.catalog.confirmedAt.Load()
+	if h.newestMalformed || last != nil && !at.After(*last) {
 		return
 	}
-	h.catalog.certain.Store(&at)
+	h.catalog.confirmedAt.Store(&at)
 }
 
 // SourceUnavailable implements watch.Handler.
@@ -98,22 +99,22 @@
 func (h *ConfigHandler) apply(object objectapi.Object) {
 	config, holds, err := h.decode(object)
 	if err != nil {
-		h.unread = true
-		h.log.WithFields(logrus.Fields{"event": "config-malformed", "revision": object.Version, "error": err}).Error("configuration not read")
+		h.newestMalformed = true
+		h.log.WithFields(logrus.Fields{"event": "config-malformed", "revision": object.Version, "error": err}).Error("failed to decode configuration")
 		return
 	}
 	if !holds {
 		return
 	}
-	h.unread = false
+	h.newestMalformed = false
 	old := h.catalog.table.Load()
 	if old != nil && old.Config.Version >= config.Version {
 		return
 	}
 	h.catalog.table.Store(NewTable(config))
 	h.log.WithFields(logrus.Fields{"event": "config", "version": config.Version, "revision": object.Version,
-		"routes": len(config.Routes), "services": len(config.Services), "keyed": config.RequireKeys, "organisations": len(config.Organisations)}).Info("configuration in force")
+		"routes": len(config.Routes), "services": len(config.Services), "keyed": config.RequireKeys, "organisations": len(config.Organisations)}).Info("configuration applied")
 	for _, problem := range config.RejectedOrganisations {
-		h.log.WithFields(logrus.Fields{"event": "organisation-refused", "version": config.Version, "error": problem}).Error("organisation can't be read; its callers are refused")
+		h.log.WithFields(logrus.Fields{"event": "organisation-refused", "version": config.Version, "error": problem}).Error("failed to decode organisation; refusing its callers")
 	}
 }
