--- a/internal/front/catalog/constraints.go
+++ b/internal/front/catalog/constraints.go
@@ -37,13 +37,13 @@
 }
 
 // Restriction returns the restriction of a server.
-func (t *Constraints) Restriction(server *Server) Restriction {
+func (c *Constraints) Restriction(server *Server) Restriction {
 	switch {
 	case server.Draining:
 		return RestrictedDraining
-	case t.DataCentreRestriction(server.DataCentre) != Unrestricted:
-		return t.DataCentreRestriction(server.DataCentre)
-	case len(t.ColdUntil) > 0 && t.Now.Before(t.ColdUntil[server.ID]):
+	case c.DataCentreRestriction(server.DataCentre) != Unrestricted:
+		return c.DataCentreRestriction(server.DataCentre)
+	case len(c.ColdUntil) > 0 && c.Now.Before(c.ColdUntil[server.ID]):
 		return RestrictedCold
 	default:
 		return Unrestricted
@@ -51,11 +51,11 @@
 }
 
 // DataCentreRestriction returns the restriction that applies to all servers of a data centre.
-func (t *Constraints) DataCentreRestriction(dataCentre string) Restriction {
+func (c *Constraints) DataCentreRestriction(dataCentre string) Restriction {
 	switch {
-	case t.Evacuated[dataCentre]:
+	case c.Evacuated[dataCentre]:
 		return RestrictedEvacuated
-	case !t.AllowedRegions.Allow(t.Regions[dataCentre]):
+	case !c.AllowedRegions.Allow(c.Regions[dataCentre]):
 		return RestrictedRegion
 	default:
 		return Unrestricted
@@ -78,15 +78,15 @@
 }
 
 // Allow reports whether requests may go to a region.
-func (h AllowedRegions) Allow(region string) bool { return h == nil || h[region] }
+func (r AllowedRegions) Allow(region string) bool { return r == nil || r[region] }
 
 // Intersect returns the regions that both sets allow.
-func (h AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
-	if h == nil {
+func (r AllowedRegions) Intersect(other AllowedRegions) AllowedRegions {
+	if r == nil {
 		return other
 	}
 	both := AllowedRegions{}
-	for region := range h {
+	for region := range r {
 		if other.Allow(region) {
 			both[region] = true
 		}
--- a/internal/front/catalog/entries_test.go
+++ b/internal/front/catalog/entries_test.go
@@ -80,22 +80,22 @@
 // TestRefusedEntryRemovesServer checks that a server with a refused entry is removed at once and until a valid entry
 // comes; other servers stay.
 func TestRefusedEntryRemovesServer(t *testing.T) {
-	odd := string(catalog.RefusedFieldMistyped)
+	invalid := string(catalog.RefusedFieldMistyped)
 	for how, write := range map[string]func(*entryFixture){
-		"as a change": func(l *entryFixture) { l.change(5, objectAt("a", odd, 5)) },
+		"as a change": func(l *entryFixture) { l.change(5, objectAt("a", invalid, 5)) },
 		"in a list": func(l *entryFixture) {
-			l.Reset([]objectapi.Object{objectAt("a", odd, 5), objectAt("b", "good 1", 2)}, 5)
+			l.Reset([]objectapi.Object{objectAt("a", invalid, 5), objectAt("b", "good 1", 2)}, 5)
 			l.Confirm(5, time.Now())
 		},
 		"after an outage": func(l *entryFixture) {
 			l.SourceUnavailable()
 			time.Sleep(4 * time.Second)
-			l.change(5, objectAt("a", odd, 5))
+			l.change(5, objectAt("a", invalid, 5))
 		},
 		"for a missing entry": func(l *entryFixture) {
 			l.SourceUnavailable()
 			l.Change(deletion("a"))
-			l.change(5, objectAt("a", odd, 5))
+			l.change(5, objectAt("a", invalid, 5))
 		},
 		"for a held entry": func(l *entryFixture) {
 			l.SourceUnavailable()
@@ -103,7 +103,7 @@
 			l.Change(deletion("a"))
 			l.Confirm(4, time.Now())
 			assert.DeepEqual(t, l.usableServers(), []string{"a@1", "b@1"})
-			l.change(5, objectAt("a", odd, 5))
+			l.change(5, objectAt("a", invalid, 5))
 		},
 	} {
 		t.Run(strings.ReplaceAll(how, " ", "-"), func(t *testing.T) {
--- a/internal/front/catalog/servers.go
+++ b/internal/front/catalog/servers.go
@@ -141,9 +141,9 @@
 // endOutage starts the grace period for servers whose entries were deleted during the outage. The caller holds h.mu.
 func (h *ServersHandler) endOutage(at time.Time) {
 	h.outage = false
-	if holding := h.LeaseExpiry.GraceUntil(h.confirmedAt, at); holding.After(h.graceUntil) {
+	if until := h.LeaseExpiry.GraceUntil(h.confirmedAt, at); until.After(h.graceUntil) {
 		// A short outage must not end the grace period of a preceding long one.
-		h.graceUntil = holding
+		h.graceUntil = until
 	}
 	left := time.Until(h.graceUntil)
 	if left > 0 {
@@ -323,9 +323,9 @@
 
 // publish stores a new snapshot in the catalog. The caller holds h.mu.
 func (h *ServersHandler) publish() {
-	view := h.Catalog.Servers().withChanges(h.revision, h.Topology, h.changed, h.usableServer)
-	view.evacuated, view.regions, view.coldUntil = h.evacuated, h.Topology.Regions, h.coldUntil(time.Now())
-	h.Catalog.servers.Store(view)
+	snapshot := h.Catalog.Servers().withChanges(h.revision, h.Topology, h.changed, h.usableServer)
+	snapshot.evacuated, snapshot.regions, snapshot.coldUntil = h.evacuated, h.Topology.Regions, h.coldUntil(time.Now())
+	h.Catalog.servers.Store(snapshot)
 	h.changed = map[string]bool{} // a cleared map would keep the memory of the largest batch
 }
 
--- a/internal/front/catalog/snapshot.go
+++ b/internal/front/catalog/snapshot.go
@@ -39,9 +39,9 @@
 
 // Slots returns the number of slots in the data centres that the constraints allow, and the number of those data
 // centres.
-func (f ServerPool) Slots(terms *Constraints) (slots, dataCentres int) {
-	for dataCentre, n := range f.slots {
-		if terms.DataCentreRestriction(dataCentre) == Unrestricted {
+func (p ServerPool) Slots(constraints *Constraints) (slots, dataCentres int) {
+	for dataCentre, n := range p.slots {
+		if constraints.DataCentreRestriction(dataCentre) == Unrestricted {
 			slots += n
 			dataCentres++
 		}
@@ -84,9 +84,9 @@
 // All returns all servers, sorted by name. The slice is shared and must not be modified.
 func (s *ServerSnapshot) All() []*Server { return s.byName }
 
-// withChanges returns a snapshot in which the changed servers are replaced by what now returns for them, or removed if
-// it returns nil. Unchanged servers are copied in bulk.
-func (s *ServerSnapshot) withChanges(revision uint64, at place.Topology, changed map[string]bool, now func(name string) *Server) *ServerSnapshot {
+// withChanges returns a snapshot in which the changed servers are replaced by what current returns for them, or
+// removed if it returns nil. Unchanged servers are copied in bulk.
+func (s *ServerSnapshot) withChanges(revision uint64, at place.Topology, changed map[string]bool, current func(name string) *Server) *ServerSnapshot {
 	var before, after []*Server
 	services := map[string]bool{}
 	for name := range changed {
@@ -94,7 +94,7 @@
 			before = append(before, s.byName[i])
 			services[s.byName[i].Service] = true
 		}
-		if server := now(name); server != nil {
+		if server := current(name); server != nil {
 			after = append(after, server)
 			services[server.Service] = true
 		}
--- a/internal/front/catalog/snapshot_test.go
+++ b/internal/front/catalog/snapshot_test.go
@@ -36,7 +36,7 @@
 				h.Change(objectapi.Event{Object: object})
 			}
 			h.Confirm(version, time.Now())
-			checkView(t, c.Servers(), there)
+			checkSnapshot(t, c.Servers(), there)
 		}
 		late.Reset(slices.Collect(maps.Values(there)), 60)
 		for _, service := range []string{"service-0", "service-1"} {
@@ -51,26 +51,26 @@
 	return o
 }
 
-func checkView(t *testing.T, view *catalog.ServerSnapshot, there map[string]objectapi.Object) {
+func checkSnapshot(t *testing.T, snapshot *catalog.ServerSnapshot, there map[string]objectapi.Object) {
 	t.Helper()
-	assert.Equal(t, view.Len(), len(there))
+	assert.Equal(t, snapshot.Len(), len(there))
 	slots, names := map[string]int{}, map[string]int{}
 	for _, object := range there {
 		server, err := decodeWireServer(object)
 		assert.NilError(t, err)
-		address, known := view.Address(server.ID)
+		address, known := snapshot.Address(server.ID)
 		assert.Assert(t, known)
 		assert.Equal(t, address, server.Address)
 		slots[server.Service] += server.Slots
 		names[server.Service]++
 	}
 	for _, service := range []string{"service-0", "service-1"} {
-		fleet := view.Pool(service)
-		assert.Equal(t, len(fleet.Servers), names[service])
-		total, _ := fleet.Slots(&catalog.Constraints{})
+		pool := snapshot.Pool(service)
+		assert.Equal(t, len(pool.Servers), names[service])
+		total, _ := pool.Slots(&catalog.Constraints{})
 		assert.Equal(t, total, slots[service])
 		local := true
-		for _, server := range fleet.Servers {
+		for _, server := range pool.Servers {
 			assert.Assert(t, local || server.DataCentre != "hall-0", "a local server follows one of another data centre")
 			local = server.DataCentre == "hall-0"
 		}
