--- a/internal/front/gateway/admission.go
+++ b/internal/front/gateway/admission.go
@@ -10,56 +10,56 @@
 )
 
 const (
-	// leastSilence is how long every caller waits for the first event of a stream. A caller waits for silentObjectives
-	// times the route's objective and silentGaps times its longest pause too, where those are longer: so the users'
-	// pages say.
-	leastSilence     = 2 * time.Second
-	silentObjectives = 4
-	silentGaps       = 8
-	// lowestPriority is the route's rank that goes last.
+	// minFirstEventWait, objectiveFactor and maxGapFactor give the time for which callers wait for the first event of
+	// a stream: the longest of minFirstEventWait, objectiveFactor times the route's objective and maxGapFactor times
+	// its MaxGap. The user documentation states these values.
+	minFirstEventWait = 2 * time.Second
+	objectiveFactor   = 4
+	maxGapFactor      = 8
+	// lowestPriority is the priority of the least urgent routes.
 	lowestPriority = 9
-	// waitWorthALine is the shortest wait that is logged: most turns do not wait.
-	waitWorthALine = time.Millisecond
+	// minLoggedWait is the shortest wait that is logged, as most turns do not wait.
+	minLoggedWait = time.Millisecond
 )
 
-// call returns what the dispatcher goes by.
-func (s *stream) call(p prepared) *dispatch.Call {
+// schedulerCall returns the request as the scheduler sees it.
+func (s *stream) schedulerCall(p turnContext) *dispatch.Call {
 	x := s.x
-	c := &dispatch.Call{Service: x.service, Route: x.route.Name, ProgramStarted: p.begun, TimeBudget: p.aim,
+	c := &dispatch.Call{Service: x.serviceName, Route: x.route.Name, ProgramStarted: p.programStarted, TimeBudget: p.timeBudget,
 		Priority: int32(max(0, lowestPriority-x.priority()))}
-	x.look(&s.ask)
-	c.Slots = s.ask.Slots
-	c.UnloadedDuration = x.g.balancer.UnloadedDuration(&s.ask, x.info.LikelyOutputTokens)
-	if x.info.TimeBudget > 0 {
-		c.Deadline = x.arrived.Add(x.info.TimeBudget)
+	x.refreshServers(&s.balancerRequest)
+	c.Slots = s.balancerRequest.Slots
+	c.UnloadedDuration = x.g.balancer.UnloadedDuration(&s.balancerRequest, x.requestInfo.LikelyOutputTokens)
+	if x.requestInfo.TimeBudget > 0 {
+		c.Deadline = x.arrived.Add(x.requestInfo.TimeBudget)
 	}
-	c.FirstEventBy = x.arrived.Add(max(leastSilence, silentObjectives*x.route.Objective, silentGaps*x.route.MaxGap))
-	if !x.until.IsZero() && x.until.Before(c.FirstEventBy) {
-		c.FirstEventBy = x.until
+	c.FirstEventBy = x.arrived.Add(max(minFirstEventWait, objectiveFactor*x.route.Objective, maxGapFactor*x.route.MaxGap))
+	if !x.deadline.IsZero() && x.deadline.Before(c.FirstEventBy) {
+		c.FirstEventBy = x.deadline
 	}
 	return c
 }
 
-// enter waits until the request may go to a server, or refuses it.
-func (x *exchange) enter(c *dispatch.Call) *refusal {
+// waitForSlot waits until the scheduler admits the request, or returns a refusal.
+func (x *exchange) waitForSlot(c *dispatch.Call) *refusal {
 	began := time.Now()
-	err := x.g.gate.Acquire(x.ctx, c)
+	err := x.g.scheduler.Acquire(x.ctx, c)
 	waited := time.Since(began)
-	if waited < waitWorthALine && err == nil {
+	if waited < minLoggedWait && err == nil {
 		return nil
 	}
 	x.g.stats.wait(x.route.Name, waited)
-	fields := logrus.Fields{"event": "wait", "id": x.info.ID, "route": x.route.Name, "begun": c.ProgramStarted, "ms": waited.Milliseconds(),
-		"alone_ms": c.UnloadedDuration.Milliseconds(), "waiting": x.g.gate.Waiting(), "running": x.g.gate.Running(), "outcome": "let-go"}
+	fields := logrus.Fields{"event": "wait", "id": x.requestInfo.ID, "route": x.route.Name, "begun": c.ProgramStarted, "ms": waited.Milliseconds(),
+		"alone_ms": c.UnloadedDuration.Milliseconds(), "waiting": x.g.scheduler.Waiting(), "running": x.g.scheduler.Running(), "outcome": "let-go"}
 	if !c.Deadline.IsZero() {
 		fields["slack_ms"] = time.Until(c.Deadline.Add(-c.UnloadedDuration)).Milliseconds()
 	}
 	if err != nil {
 		fields["outcome"] = "refused"
 	}
-	x.g.log.WithFields(fields).Info("turn waited for a place")
+	x.g.log.WithFields(fields).Info("turn waited for a slot")
 	if err != nil {
-		return &refusal{status: http.StatusServiceUnavailable, reason: "no-place-in-time", retryAfter: jitter(x.g.gate.RetryAfter(c)), err: err}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "no-place-in-time", retryAfter: jitter(x.g.scheduler.RetryAfter(c)), err: err}
 	}
 	return nil
 }
--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -17,67 +17,68 @@
 	"github.com/rookpass/rookpass/internal/transport/upstream"
 )
 
-// attempt is one try of a request at one server, for the log.
-type attempt struct {
+// attemptRecord describes one attempt of a request at a server, for the log.
+type attemptRecord struct {
 	server  incarnation.ID
 	outcome string
 	took    time.Duration
-	// inFlight and candidates are what the choice saw.
+	// inFlight and candidates are the server's requests in flight and the number of candidate servers when it was
+	// chosen.
 	inFlight   int
 	candidates int
-	// uncached are the prompt tokens that the server was thought to have to read.
-	uncached int64
-	reused   bool
+	// uncached is the estimated number of prompt tokens that the server did not have in its cache.
+	uncached         int64
+	reusedConnection bool
 }
 
-// describe returns attempts as one word for the log, joined by commas: server/outcome/ms/in flight/candidates, and
-// for turns the tokens to read.
-func describe(attempts []attempt) string {
+// formatAttempts returns attempts for the log, separated by commas: server/outcome/ms/in flight/candidates, then the
+// uncached tokens if any, and "kept" if a failed attempt used a kept connection.
+func formatAttempts(attempts []attemptRecord) string {
 	parts := make([]string, len(attempts))
 	for i, a := range attempts {
 		parts[i] = fmt.Sprintf("%s/%s/%dms/%d/%d", a.server, a.outcome, a.took.Milliseconds(), a.inFlight, a.candidates)
 		if a.uncached > 0 {
 			parts[i] += fmt.Sprintf("/%dt", a.uncached)
 		}
-		if a.reused {
+		if a.reusedConnection {
 			parts[i] += "/kept"
 		}
 	}
 	return strings.Join(parts, ",")
 }
 
-// try sends the request to one chosen server. It returns an answer that the server signed, or a failure.
-// NotRun answers are failures too. A stream goes on behind lastEvent.
-func (x *exchange) try(ctx context.Context, choice *balance.Choice, body [][]byte, lastEvent string) (*upstream.Response, *upstream.Failure) {
+// sendTo sends the request to one server. It returns the response, which is signed if its status is a success, or a
+// failure. NotRun responses are failures too. A stream continues after lastEvent.
+func (x *exchange) sendTo(ctx context.Context, choice *balance.Choice, body [][]byte, lastEvent string) (*upstream.Response, *upstream.Failure) {
 	header := maps.Clone(x.header)
-	x.g.dialect.AddForwardInfo(header, x.address(choice.Server.ID.Server, lastEvent))
+	x.g.headerCodec.AddForwardInfo(header, x.forwardInfo(choice.Server.ID.Server, lastEvent))
 	request := &upstream.Request{
-		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: header, Body: body, ID: x.info.ID,
+		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: header, Body: body, ID: x.requestInfo.ID,
 		Idempotent: x.route.Repeatable(),
 	}
 	limit := 0
 	if service := x.table.Service(choice.Server.Service); service != nil {
 		limit = service.MaxConns
 	}
-	x.mayRun.Add(1)
+	x.possibleRuns.Add(1)
 	answer, failure := x.g.sender.Do(ctx, endpoint(&choice.Server), limit, request)
 	if failure != nil && failure.Verdict == verdict.NotRun || failure == nil && answer.Info.NotRun {
-		x.mayRun.Add(-1)
+		x.possibleRuns.Add(-1)
 	}
 	if failure != nil {
-		if failure.Verdict != verdict.NotRun { // a failed dial keeps its reason: it is no try at a server
-			failure.Reason = reasonOf(ctx, failure.Reason)
+		if failure.Verdict != verdict.NotRun { // failed dials keep their reason, since no server was reached
+			failure.Reason = failureReason(ctx, failure.Reason)
 		}
 		return nil, failure
 	}
 	choice.HeadReceived()
 	switch {
 	case answer.Info.NotRun:
-		_, _ = io.Copy(io.Discard, answer.Body) // so that the connection can be kept; the answer says all
+		_, _ = io.Copy(io.Discard, answer.Body) // so that the connection can be reused
 		answer.Close()
 		reason := reasonShed
 		if answer.Status == http.StatusMisdirectedRequest {
-			reason = reasonGone
+			reason = reasonMisdirected
 		}
 		return nil, upstream.NewFailure(verdict.NotRun, reason, Error.New("status %d", answer.Status))
 	case isSuccess(answer.Status) && !answer.Info.Signed:
@@ -88,16 +89,16 @@
 }
 
 const (
-	// reasonShed is a server's word that it was full.
+	// reasonShed means that the server refused the request because it was overloaded.
 	reasonShed = "shed"
-	// reasonGone means that another server answers at the address.
-	reasonGone = "gone"
-	// reasonRestarted means that the start of the server that was asked is over.
+	// reasonMisdirected means that another server responded at the address.
+	reasonMisdirected = "gone"
+	// reasonRestarted means that the server has restarted since the request was sent.
 	reasonRestarted = "restarted"
 )
 
-// reasonOf returns why a try ended that has failed: the reason given, unless its server has started again.
-func reasonOf(ctx context.Context, reason string) string {
+// failureReason returns the reason of a failed attempt: the given one, unless the server has restarted.
+func failureReason(ctx context.Context, reason string) string {
 	if errors.Is(context.Cause(ctx), balance.ErrRestarted) {
 		return reasonRestarted
 	}
@@ -108,21 +109,21 @@
 	return upstream.Endpoint{Address: s.Address, Server: s.ID}
 }
 
-// connected tells whether a connection to a server rests that the request may use.
-func (x *exchange) connected(s *catalog.Server) bool {
+// hasIdleConnection reports whether there is an idle connection to a server that the request may use.
+func (x *exchange) hasIdleConnection(s *catalog.Server) bool {
 	return x.g.sender.HasIdle(endpoint(s), x.route.Repeatable())
 }
 
-// note records an attempt and tells the balancer how it went.
-func (x *exchange) note(choice *balance.Choice, began time.Time, outcome string, told balance.Outcome) {
+// recordAttempt records an attempt and reports its outcome to the balancer.
+func (x *exchange) recordAttempt(choice *balance.Choice, began time.Time, outcome string, told balance.Outcome) {
 	choice.Done(told)
-	x.attempts = append(x.attempts, attempt{server: choice.Server.ID, outcome: outcome, took: time.Since(began),
+	x.attempts = append(x.attempts, attemptRecord{server: choice.Server.ID, outcome: outcome, took: time.Since(began),
 		inFlight: choice.InFlight, candidates: choice.Candidates, uncached: choice.Uncached})
 	x.g.stats.attempt(outcome)
 }
 
-// noteFailure records a failed attempt.
-func (x *exchange) noteFailure(choice *balance.Choice, began time.Time, failure *upstream.Failure) {
+// recordFailure records a failed attempt.
+func (x *exchange) recordFailure(choice *balance.Choice, began time.Time, failure *upstream.Failure) {
 	told := balance.Failed
 	switch {
 	case failure.Reason == reasonShed, failure.Reason == upstream.ReasonNoConns:
@@ -130,28 +131,31 @@
 	case x.r.Context().Err() != nil:
 		told = balance.Abandoned
 	}
-	x.note(choice, began, failure.Reason, told)
-	x.attempts[len(x.attempts)-1].reused = failure.Reused
+	x.recordAttempt(choice, began, failure.Reason, told)
+	x.attempts[len(x.attempts)-1].reusedConnection = failure.Reused
 }
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// known returns a start of a server that is in use now, or nil.
-func (x *exchange) known(id incarnation.ID) *catalog.Server { return x.g.catalog.Servers().Server(id) }
+// lookupServer returns an incarnation of a server, or nil if it is no longer known.
+func (x *exchange) lookupServer(id incarnation.ID) *catalog.Server {
+	return x.g.catalog.Servers().Server(id)
+}
 
-// look tells the choice of a server which there are now: one that has begun to leave since the last try must get nothing more.
-func (x *exchange) look(ask *balance.Request) {
+// refreshServers sets the current servers of a balancer request, so that servers that started draining since the last
+// attempt get no further one.
+func (x *exchange) refreshServers(ask *balance.Request) {
 	servers := x.g.catalog.Servers()
-	fleet := servers.Pool(x.service)
-	if service := x.table.Service(x.service); service != nil {
+	fleet := servers.Pool(x.serviceName)
+	if service := x.table.Service(x.serviceName); service != nil {
 		ask.ColdPerSecond = service.ColdPerSecond
 	}
-	ask.Servers, ask.Terms = fleet.Servers, servers.Constraints(time.Now(), x.homes(), ask.ColdPerSecond > 0)
+	ask.Servers, ask.Terms = fleet.Servers, servers.Constraints(time.Now(), x.allowedRegions(), ask.ColdPerSecond > 0)
 	ask.Slots, ask.DataCentres = fleet.Slots(&ask.Terms)
 }
 
-// homes returns the regions to which the request may go: both its route and its organisation bind it.
-func (x *exchange) homes() catalog.AllowedRegions {
+// allowedRegions returns the regions that both the route and the organisation allow.
+func (x *exchange) allowedRegions() catalog.AllowedRegions {
 	if x.organisation == nil {
 		return x.route.AllowedRegions
 	}
--- a/internal/front/gateway/bounds_test.go
+++ b/internal/front/gateway/bounds_test.go
@@ -12,28 +12,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestLeavingServerGetsNoFurtherTry: a server whose entry goes while a request is being tried elsewhere gets
-// nothing more, though it was there when the request came.
-func TestLeavingServerGetsNoFurtherTry(t *testing.T) {
+// TestRemovedServerIsNotRetried checks that a server that is removed while a request runs gets no further attempt of
+// it.
+func TestRemovedServerIsNotRetried(t *testing.T) {
 	for _, path := range []string{"/twice/x", "/once/x", "/turn/x"} {
-		var r *rig
+		var r *fixture
 		var tried atomic.Int64
 		leave := func(w http.ResponseWriter, req *http.Request) {
 			tried.Add(1)
-			r.entries.Reset(nil, 2)
-			shed(w, req)
+			r.servers.Reset(nil, 2)
+			respondNotRun(w, req)
 		}
-		r = newRig(t, leave, leave)
+		r = newFixture(t, leave, leave)
 		assert.Equal(t, r.send(path, "hello").status, http.StatusServiceUnavailable, path)
 		assert.Equal(t, tried.Load(), int64(1), path)
 	}
 }
 
-// TestBodiesHoldBoundedMemory: what does not fit beside the bodies of other requests is refused as not run, with
-// and without a known length, and fits once they have ended.
-func TestBodiesHoldBoundedMemory(t *testing.T) {
+// TestBodyMemoryIsBounded checks that bodies of known and unknown length that exceed the free memory are refused as
+// not run, and are accepted once other requests have ended.
+func TestBodyMemoryIsBounded(t *testing.T) {
 	came, release := make(chan struct{}), make(chan struct{})
-	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, req *http.Request) {
 		if req.Header.Get("Hold") != "" {
 			close(came)
 			<-release
@@ -56,15 +56,15 @@
 	close(release)
 	assert.Equal(t, (<-held).status, http.StatusOK)
 	for range 4 {
-		<-r.ended
+		<-r.outcomes
 	}
 	assert.Equal(t, r.send("/once/x", strings.Repeat("b", 900), "Id", "third").status, http.StatusOK)
 }
 
-// TestCallerThatDoesNotReadIsLeft: its answer does not fit into the connection, and the request ends soon after
-// its time all the same.
-func TestCallerThatDoesNotReadIsLeft(t *testing.T) {
-	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
+// TestWriteDeadlineForCallerThatDoesNotRead checks that the request ends soon after its deadline though its response
+// does not fit into the connection's buffers.
+func TestWriteDeadlineForCallerThatDoesNotRead(t *testing.T) {
+	r := newFixture(t, func(w http.ResponseWriter, req *http.Request) {
 		w.Header().Set("Id", req.Header.Get("Id"))
 		w.Header().Set("Seal", "s")
 		block := make([]byte, 64<<10)
@@ -80,17 +80,17 @@
 	_, err = io.WriteString(conn, "GET /twice/x HTTP/1.1\r\nHost: 127.0.0.1\r\nId: slow\r\nDeadline: 100ms\r\n\r\n")
 	assert.NilError(t, err)
 	select {
-	case reason := <-r.ended:
+	case reason := <-r.outcomes:
 		assert.Equal(t, reason, "caller-left")
 	case <-time.After(10 * time.Second):
-		t.Fatal("the request is still held")
+		t.Fatal("request did not end within 10 s")
 	}
 }
 
-// TestStoppingDaemonAsksCallersToLeave: also those whose requests came before.
-func TestStoppingDaemonAsksCallersToLeave(t *testing.T) {
-	var r *rig
-	r = newRig(t, func(w http.ResponseWriter, req *http.Request) {
+// TestDrainClosesConnections checks a request that arrived before the drain.
+func TestDrainClosesConnections(t *testing.T) {
+	var r *fixture
+	r = newFixture(t, func(w http.ResponseWriter, req *http.Request) {
 		r.gateway.Drain()
 		echo(w, req)
 	})
--- a/internal/front/gateway/events.go
+++ b/internal/front/gateway/events.go
@@ -9,7 +9,7 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 4 << 20
 
-// event is one server-sent event: its bytes as they came, its data and its id.
+// event is a server-sent event: its raw bytes, data and id.
 type event struct {
 	raw     []byte
 	data    []byte
@@ -17,16 +17,16 @@
 	id      string
 }
 
-// eventReader cuts a text/event-stream into events.
+// eventReader splits a text/event-stream into events.
 type eventReader struct{ reader *bufio.Reader }
 
 func newEventReader(r io.Reader) *eventReader {
 	return &eventReader{reader: bufio.NewReaderSize(r, 2<<10)}
 }
 
-// next returns the next event. With io.EOF comes what stood behind the last event's blank line, if anything;
-// with any other error the stream broke off.
-func (e *eventReader) next() (event, error) {
+// readEvent returns the next event. With io.EOF it returns the bytes after the last event's blank line, if any. Any
+// other error means that the stream was truncated.
+func (e *eventReader) readEvent() (event, error) {
 	var ev event
 	for {
 		start := len(ev.raw)
@@ -37,7 +37,7 @@
 				break
 			}
 			if err != bufio.ErrBufferFull {
-				ev.field(ev.raw[start:])
+				ev.addLine(ev.raw[start:])
 				return ev, err
 			}
 			if len(ev.raw) > maxEventBytes {
@@ -48,12 +48,12 @@
 		if len(line) == 0 {
 			return ev, nil
 		}
-		ev.field(line)
+		ev.addLine(line)
 	}
 }
 
-// field takes over one line of an event. Several data lines are joined by line feeds.
-func (ev *event) field(line []byte) {
+// addLine adds a line to an event. Several data lines are joined by line feeds.
+func (ev *event) addLine(line []byte) {
 	if id, isID := bytes.CutPrefix(line, []byte("id:")); isID {
 		ev.id = string(bytes.TrimSpace(id))
 		return
--- a/internal/front/gateway/fixture_test.go
+++ b/internal/front/gateway/fixture_test.go
@@ -34,10 +34,10 @@
 	"github.com/rookpass/rookpass/platform"
 )
 
-// dialect uses short names of headers.
-type dialect struct{}
+// testCodec is a header codec with short header names.
+type testCodec struct{}
 
-func (dialect) DecodeRequest(h http.Header) (call.RequestInfo, error) {
+func (testCodec) DecodeRequest(h http.Header) (call.RequestInfo, error) {
 	info := call.RequestInfo{ID: h.Get("Id"), Program: h.Get("Program"), PreviousTurn: h.Get("Previous"), LastEvent: h.Get("After"), MaxOutputTokens: 100}
 	if key := h.Get("Api-Key"); key != "" {
 		info.Key, info.HasKey = secret.HashOf(key), true
@@ -61,35 +61,35 @@
 	}
 	return info, nil
 }
-func (dialect) ForwardedHeaders(h http.Header) http.Header {
+func (testCodec) ForwardedHeaders(h http.Header) http.Header {
 	return platform.HeaderCodec{}.ForwardedHeaders(h)
 }
-func (dialect) AddForwardInfo(h http.Header, to call.ForwardInfo) {
+func (testCodec) AddForwardInfo(h http.Header, to call.ForwardInfo) {
 	h.Set("Left", to.Timeout.String())
 	h.Set("Server", to.Server)
 	h.Set("Last-Event", to.LastEvent)
 	h.Set("Organisation", to.Organisation)
 }
-func (dialect) DecodeResponse(h http.Header, status int) call.ResponseInfo {
+func (testCodec) DecodeResponse(h http.Header, status int) call.ResponseInfo {
 	return call.ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "" || status == 421}
 }
-func (dialect) SetRequestID(h http.Header, id string) { h.Set("Id", id) }
+func (testCodec) SetRequestID(h http.Header, id string) { h.Set("Id", id) }
 
-// books is a ledger in memory.
-type books struct {
-	mu     sync.Mutex
-	turns  map[string]*turn.Record
-	spent  int64
-	voided []string
-	// settled are the turns that were whole on routes that keep no history.
+// memoryLedger is a ledger in memory.
+type memoryLedger struct {
+	mu       sync.Mutex
+	turns    map[string]*turn.Record
+	spent    int64
+	released []string
+	// settled are completed turns of routes without retention.
 	settled []*turn.Record
-	// fail is returned by the method that it names.
+	// fail has errors to return, by method.
 	fail map[string]error
 }
 
-func (b *books) Ready() bool { return true }
+func (b *memoryLedger) Ready() bool { return true }
 
-func (b *books) Chain(_ context.Context, _, id string) ([]*turn.Record, error) {
+func (b *memoryLedger) Chain(_ context.Context, _, id string) ([]*turn.Record, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := b.fail["chain"]; err != nil {
@@ -107,7 +107,7 @@
 	return chain, nil
 }
 
-func (b *books) Reserve(_ context.Context, r *turn.Record, budget int64) (ledger.ProgramUsage, error) {
+func (b *memoryLedger) Reserve(_ context.Context, r *turn.Record, budget int64) (ledger.ProgramUsage, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := b.fail["reserve"]; err != nil {
@@ -119,7 +119,7 @@
 	return ledger.ProgramUsage{Spent: b.spent}, nil
 }
 
-func (b *books) Finish(_ context.Context, r *turn.Record) error {
+func (b *memoryLedger) Finish(_ context.Context, r *turn.Record) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := b.fail["finish"]; err != nil {
@@ -130,49 +130,49 @@
 	return nil
 }
 
-func (b *books) Settle(r *turn.Record) {
+func (b *memoryLedger) Settle(r *turn.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.State == turn.Void {
-		b.voided = append(b.voided, r.ID)
+		b.released = append(b.released, r.ID)
 		return
 	}
 	b.settled = append(b.settled, r)
 	b.spent += r.Tokens
 }
 
-// rig is a gateway before backend servers, each a handler.
-type rig struct {
-	t       *testing.T
-	books   *books
-	catalog *catalog.Catalog
-	gateway *gateway.Gateway
-	gate    *dispatch.Scheduler
-	// entries holds the servers, numbered in the order of their handlers.
-	entries *catalog.ServersHandler
+// fixture is a gateway in front of backend servers, each of which is a handler.
+type fixture struct {
+	t         *testing.T
+	ledger    *memoryLedger
+	catalog   *catalog.Catalog
+	gateway   *gateway.Gateway
+	scheduler *dispatch.Scheduler
+	// servers is the watch handler of the servers, which are numbered in the order of their handlers.
+	servers *catalog.ServersHandler
 	objects []objectapi.Object
-	quotas  *limits
+	quotas  *fakeQuotas
 	config  catalog.Config
 	configs *catalog.ConfigHandler
-	// ended gets the reason of each request that has ended.
-	ended chan string
-	url   string
+	// outcomes receives the outcome of each completed request.
+	outcomes chan string
+	url      string
 }
 
 // Levels implements logrus.Hook.
-func (r *rig) Levels() []logrus.Level { return logrus.AllLevels }
+func (r *fixture) Levels() []logrus.Level { return logrus.AllLevels }
 
 // Fire implements logrus.Hook.
-func (r *rig) Fire(e *logrus.Entry) error {
+func (r *fixture) Fire(e *logrus.Entry) error {
 	if e.Data["event"] == "request" {
-		r.ended <- fmt.Sprint(e.Data["outcome"])
+		r.outcomes <- fmt.Sprint(e.Data["outcome"])
 	}
 	return nil
 }
 
-func newRig(t *testing.T, servers ...http.HandlerFunc) *rig {
-	r := &rig{t: t, gate: dispatch.New(), books: &books{turns: map[string]*turn.Record{}, fail: map[string]error{}}, catalog: catalog.New(),
-		quotas: &limits{}, ended: make(chan string, 1000)}
+func newFixture(t *testing.T, servers ...http.HandlerFunc) *fixture {
+	r := &fixture{t: t, scheduler: dispatch.New(), ledger: &memoryLedger{turns: map[string]*turn.Record{}, fail: map[string]error{}}, catalog: catalog.New(),
+		quotas: &fakeQuotas{}, outcomes: make(chan string, 1000)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.AddHook(r)
@@ -182,21 +182,21 @@
 		r.objects = append(r.objects, objectapi.Object{Key: fmt.Sprintf("s/%d", i), Value: []byte(s.Listener.Addr().String())})
 	}
 	balancer := balance.New("front", place.Topology{DataCentre: "here"})
-	r.entries = catalog.NewServersHandler(catalog.ServersOptions{Catalog: r.catalog, Prefix: "s/", Decode: decodeServer,
+	r.servers = catalog.NewServersHandler(catalog.ServersOptions{Catalog: r.catalog, Prefix: "s/", Decode: decodeServer,
 		LeaseExpiry: policy.NewLeaseExpiry(time.Second), Log: log, OnStarted: func(id incarnation.ID) { balancer.ServerStarted(id) }})
-	r.entries.Reset(r.objects, 1)
+	r.servers.Reset(r.objects, 1)
 	r.configure(log)
 	dial := (&net.Dialer{}).DialContext
-	r.gateway = gateway.New(gateway.Options{Catalog: r.catalog, Balancer: balancer, Sender: upstream.NewPool(dial, dialect{}, 100),
-		Ledger: r.books, HeaderCodec: dialect{}, Log: log, Stats: gateway.NewStats(metrics.New()), Scheduler: r.gate, BodyBytes: 1500,
-		ConfigAgeLimits: policy.NewConfigAgeLimits(keyWithdrawal, keyAddition), Quotas: r.quotas})
+	r.gateway = gateway.New(gateway.Options{Catalog: r.catalog, Balancer: balancer, Sender: upstream.NewPool(dial, testCodec{}, 100),
+		Ledger: r.ledger, HeaderCodec: testCodec{}, Log: log, Stats: gateway.NewStats(metrics.New()), Scheduler: r.scheduler, BodyBytes: 1500,
+		ConfigAgeLimits: policy.NewConfigAgeLimits(maxRevocationDelay, maxAdditionDelay), Quotas: r.quotas})
 	front := httptest.NewServer(r.gateway)
 	t.Cleanup(front.Close)
 	r.url = front.URL
 	return r
 }
 
-// decodeServer decodes a server's address, behind which may stand a blank and when it started.
+// decodeServer decodes an entry "ADDRESS" or "ADDRESS BORN".
 func decodeServer(o objectapi.Object) (catalog.Server, error) {
 	address, born, _ := strings.Cut(string(o.Value), " ")
 	id := incarnation.ID{Server: o.Key[2:]}
@@ -204,7 +204,7 @@
 	return catalog.Server{ID: id, Service: "svc", Address: address, Slots: 4}, nil
 }
 
-func (r *rig) configure(log logrus.FieldLogger) {
+func (r *fixture) configure(log logrus.FieldLogger) {
 	route := func(prefix string, kind catalog.Kind, attempts int) catalog.Route {
 		return catalog.Route{Name: prefix, Host: "127.0.0.1", Prefix: prefix, Kind: kind, MaxAttempts: attempts,
 			Targets: []catalog.Target{{Service: "svc", Weight: 1}}, Timeout: 3 * time.Second}
@@ -220,23 +220,23 @@
 	r.configs.Reset([]objectapi.Object{{Key: "c/main"}}, 1)
 }
 
-// reply is what a caller gets.
+// reply is the response that a caller receives.
 type reply struct {
 	status int
 	body   string
 	header http.Header
 	broken bool
-	// closes tells that the caller is asked to leave the connection.
+	// closes is set if the response closes the connection.
 	closes bool
 }
 
-func (r *rig) send(path, body string, headers ...string) reply {
+func (r *fixture) send(path, body string, headers ...string) reply {
 	r.t.Helper()
 	return r.sendThen(path, body, func() {}, headers...)
 }
 
-// sendThen calls begun as soon as the caller has the head of the answer and a byte of its body.
-func (r *rig) sendThen(path, body string, begun func(), headers ...string) reply {
+// sendThen sends a request and calls begun once the head of the response and a byte of its body have arrived.
+func (r *fixture) sendThen(path, body string, begun func(), headers ...string) reply {
 	r.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, r.url+path, strings.NewReader(body))
 	assert.NilError(r.t, err)
@@ -250,7 +250,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	reader := bufio.NewReader(resp.Body)
-	_, _ = reader.Peek(1) // an empty or broken body shows below
+	_, _ = reader.Peek(1) // errors show when the body is read below
 	begun()
 	got, err := io.ReadAll(reader)
 	return reply{status: resp.StatusCode, body: string(got), header: resp.Header, broken: err != nil, closes: resp.Close}
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -1,8 +1,8 @@
-// Package gateway takes callers' HTTP requests, sends them to backend servers and returns their answers.
+// Package gateway accepts callers' HTTP requests, forwards them to backend servers and returns their responses.
 //
-// A request passes a row of steps that each may refuse it. What is left is either a plain request, whose answer
-// is read before it is passed on, or a stream, whose events are passed on as they come. Most streams are turns of
-// agent programs, whose token budgets and, on routes that keep it, history lie with the ledger.
+// A request passes a list of steps, each of which may refuse it. It is then either a plain request, whose response is
+// buffered before it is forwarded, or a stream, whose events are forwarded as they arrive. Most streams are turns of
+// agent programs. Their token budgets are kept by the ledger, and on routes that retain turns their history too.
 package gateway
 
 import (
@@ -30,7 +30,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("gateway")
 
-// Ledger keeps turns and budgets.
+// Ledger stores turns and token budgets.
 type Ledger interface {
 	Ready() bool
 	Chain(ctx context.Context, program, id string) ([]*turn.Record, error)
@@ -39,38 +39,39 @@
 	Settle(record *turn.Record)
 }
 
-// Sender sends one request to one server.
+// Sender sends a request to a server.
 type Sender interface {
 	Do(ctx context.Context, to upstream.Endpoint, limit int, r *upstream.Request) (*upstream.Response, *upstream.Failure)
-	// HasIdle tells whether a connection rests that a request may use, one that may run more than once or one that must not.
+	// HasIdle reports whether there is an idle connection that a request may use. Requests that are not repeatable
+	// need a connection with more time left before the server closes it.
 	HasIdle(to upstream.Endpoint, repeatable bool) bool
 }
 
-// Quotas grants requests within the limits of organisations.
+// Quotas grants requests within the rate limits of organisations.
 type Quotas interface {
 	Take(ctx context.Context, r quota.Request) (*quota.Grant, error)
 }
 
-// Gateway is an http.Handler. Use New.
+// Gateway is an http.Handler. Use New to create one.
 type Gateway struct {
-	catalog  *catalog.Catalog
-	balancer *balance.Balancer
-	sender   Sender
-	ledger   Ledger
-	dialect  call.HeaderCodec
-	log      logrus.FieldLogger
-	stats    *Stats
-	// bodies are the bytes that bodies of requests may hold together.
-	bodies   *semaphore.Weighted
-	gate     *dispatch.Scheduler
-	proofs   policy.ConfigAgeLimits
-	quotas   Quotas
-	steps    []step
-	stopping atomic.Bool
-	active   atomic.Int64
+	catalog     *catalog.Catalog
+	balancer    *balance.Balancer
+	sender      Sender
+	ledger      Ledger
+	headerCodec call.HeaderCodec
+	log         logrus.FieldLogger
+	stats       *Stats
+	// bodyMemory bounds the total memory of request bodies, in bytes.
+	bodyMemory      *semaphore.Weighted
+	scheduler       *dispatch.Scheduler
+	configAgeLimits policy.ConfigAgeLimits
+	quotas          Quotas
+	steps           []step
+	draining        atomic.Bool
+	activeRequests  atomic.Int64
 }
 
-// Options are what a gateway needs.
+// Options configure a Gateway.
 type Options struct {
 	Catalog     *catalog.Catalog
 	Balancer    *balance.Balancer
@@ -79,78 +80,78 @@
 	HeaderCodec call.HeaderCodec
 	Log         logrus.FieldLogger
 	Stats       *Stats
-	// Scheduler decides which turns go to model servers when.
+	// Scheduler decides when turns are sent to model servers.
 	Scheduler *dispatch.Scheduler
-	// BodyBytes bounds what bodies of requests hold together, in bytes.
+	// BodyBytes bounds the total memory of request bodies.
 	BodyBytes int64
-	// ConfigAgeLimits are how old the configuration may be by which callers' keys are judged.
+	// ConfigAgeLimits bound the age of the configuration with which callers' keys are checked.
 	ConfigAgeLimits policy.ConfigAgeLimits
-	// Quotas grants requests of organisations that have a limit.
+	// Quotas grants requests of organisations with a rate limit.
 	Quotas Quotas
 }
 
 // New returns a gateway.
 func New(o Options) *Gateway {
-	g := &Gateway{catalog: o.Catalog, balancer: o.Balancer, sender: o.Sender, ledger: o.Ledger, dialect: o.HeaderCodec,
-		log: o.Log, stats: o.Stats, gate: o.Scheduler, proofs: o.ConfigAgeLimits, quotas: o.Quotas, bodies: semaphore.NewWeighted(o.BodyBytes)}
-	g.steps = []step{withCallInfo, withConfig, withRoute, withOrganisation, withDeadline, withBody, withinLimit}
+	g := &Gateway{catalog: o.Catalog, balancer: o.Balancer, sender: o.Sender, ledger: o.Ledger, headerCodec: o.HeaderCodec,
+		log: o.Log, stats: o.Stats, scheduler: o.Scheduler, configAgeLimits: o.ConfigAgeLimits, quotas: o.Quotas, bodyMemory: semaphore.NewWeighted(o.BodyBytes)}
+	g.steps = []step{withRequestInfo, withConfig, withRoute, withOrganisation, withDeadline, withBody, withinRateLimit}
 	return g
 }
 
-// Drain makes every answer from here on close its connection.
-func (g *Gateway) Drain() { g.stopping.Store(true) }
+// Drain makes all further responses close their connection. Requests are still served.
+func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// ActiveRequests returns how many requests are being served.
-func (g *Gateway) ActiveRequests() int64 { return g.active.Load() }
+// ActiveRequests returns the number of requests being served.
+func (g *Gateway) ActiveRequests() int64 { return g.activeRequests.Load() }
 
-// exchange is one request on its way.
+// exchange is one HTTP request and its response.
 type exchange struct {
 	g       *Gateway
 	w       http.ResponseWriter
 	r       *http.Request
 	ctx     context.Context
 	arrived time.Time
-	// until is when the caller or the route's timeout gives the request up; zero where neither bounds it.
-	until time.Time
-	info  call.RequestInfo
-	table *catalog.Table
-	// tableAge is how old the table may have been when the request came.
+	// deadline is the earlier of the caller's deadline and the route's timeout; zero if there is neither.
+	deadline    time.Time
+	requestInfo call.RequestInfo
+	table       *catalog.Table
+	// tableAge is the maximum age of the table when the request arrived.
 	tableAge time.Duration
 	route    *catalog.Route
-	// organisation is the one that the caller's key proved; nil where none is asked for.
+	// organisation is the caller's, by its key; nil if no key is required.
 	organisation *catalog.Organisation
-	// grant is the right to run that the organisation's limit gave; nil where it has none.
+	// grant is the right to run under the organisation's rate limit; nil if it has none.
 	grant *quota.Grant
 	body  []byte
-	// reserved is what the body takes of Gateway.bodies.
-	reserved int64
-	header   http.Header
-	// service is the one that the route's weights picked for the request.
-	service string
+	// reservedBytes is the body's share of Gateway.bodyMemory.
+	reservedBytes int64
+	header        http.Header
+	// serviceName is the service picked by the route's weights.
+	serviceName string
 
-	attempts []attempt
-	// mayRun counts the tries that a server may have begun on, or may yet.
-	mayRun atomic.Int32
-	// begun is set once a part of the answer has left.
-	begun bool
+	attempts []attemptRecord
+	// possibleRuns counts the attempts that a server may have run or may yet run.
+	possibleRuns atomic.Int32
+	// headSent is set once a part of the response has been sent.
+	headSent bool
 }
 
-// refusal is an answer of the gateway's own.
+// refusal is a response that the gateway itself makes in place of a server's.
 type refusal struct {
 	status int
-	// reason is a stable word for logs and counters.
+	// reason is a stable identifier for logs and metrics.
 	reason string
-	// retryAfter tells the caller when to come back; 0 says nothing.
+	// retryAfter tells the caller when to try again; 0 sends no Retry-After header.
 	retryAfter time.Duration
 	err        error
 }
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.active.Add(1)
-	defer g.active.Add(-1)
+	g.activeRequests.Add(1)
+	defer g.activeRequests.Add(-1)
 	x := &exchange{g: g, w: w, r: r, ctx: r.Context(), arrived: time.Now()}
-	defer x.release()
+	defer x.releaseBody()
 	defer x.returnGrant()
 	var cancel context.CancelFunc
 	x.ctx, cancel = context.WithCancel(x.ctx)
@@ -161,14 +162,14 @@
 			return
 		}
 	}
-	if !x.until.IsZero() {
+	if !x.deadline.IsZero() {
 		var cancelDeadline context.CancelFunc
-		x.ctx, cancelDeadline = context.WithDeadline(x.ctx, x.until)
+		x.ctx, cancelDeadline = context.WithDeadline(x.ctx, x.deadline)
 		defer cancelDeadline()
-		x.boundWrites(x.until.Add(writeSlack))
-		defer x.boundWrites(time.Time{})
+		x.setWriteDeadline(x.deadline.Add(writeGrace))
+		defer x.setWriteDeadline(time.Time{})
 	}
-	x.service = x.route.PickService(random())
+	x.serviceName = x.route.PickService(randomFraction())
 	var refused *refusal
 	if x.route.RetainTurns || x.route.Kind == catalog.Stream {
 		refused = x.serveStream()
@@ -179,52 +180,52 @@
 		x.refuse(refused)
 		return
 	}
-	x.finish(0, "answered", nil)
+	x.recordOutcome(0, "answered", nil)
 }
 
-// writeSlack is how long after a request's time an answer may still be written: the last event of a turn waits
-// for its record.
-const writeSlack = finishWait + 500*time.Millisecond
+// writeGrace is how long after its deadline a response may still be written, since the last event of a turn waits for
+// the turn's record.
+const writeGrace = maxRecordWait + 500*time.Millisecond
 
-// boundWrites ends writes to a caller that does not read: nothing else does. The zero time lifts the bound.
-func (x *exchange) boundWrites(until time.Time) {
+// setWriteDeadline bounds writes to a caller that does not read. The zero time removes the bound.
+func (x *exchange) setWriteDeadline(until time.Time) {
 	if err := http.NewResponseController(x.w).SetWriteDeadline(until); err != nil {
-		x.g.log.WithFields(logrus.Fields{"event": "write-unbounded", "id": x.info.ID, "error": err}).Debug("a caller that does not read may hold the request")
+		x.g.log.WithFields(logrus.Fields{"event": "write-unbounded", "id": x.requestInfo.ID, "error": err}).Debug("failed to set write deadline; a caller that does not read may block the request")
 	}
 }
 
-// writeHead sends a status and the headers set so far. A stopping daemon asks the caller to leave.
-func (x *exchange) writeHead(status int) {
-	if x.g.stopping.Load() {
+// writeStatus sends a status and the headers set so far. A draining gateway closes the connection after the response.
+func (x *exchange) writeStatus(status int) {
+	if x.g.draining.Load() {
 		x.w.Header().Set("Connection", "close")
 	}
 	x.w.WriteHeader(status)
 }
 
-// refuse answers the request, or breaks the answer off where a part of it has left already.
+// refuse responds with a refusal, or aborts the response if a part of it has been sent.
 func (x *exchange) refuse(f *refusal) {
 	status := f.status
-	if x.begun || x.r.Context().Err() != nil {
+	if x.headSent || x.r.Context().Err() != nil {
 		status = 0
 	}
-	x.finish(status, f.reason, f.err)
-	if x.begun {
+	x.recordOutcome(status, f.reason, f.err)
+	if x.headSent {
 		panic(http.ErrAbortHandler)
 	}
 	h := x.w.Header()
-	x.g.dialect.SetRequestID(h, x.info.ID)
+	x.g.headerCodec.SetRequestID(h, x.requestInfo.ID)
 	if f.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	text := f.reason + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	x.writeHead(f.status)
-	_, _ = x.w.Write([]byte(text)) // the caller may have left; nothing more can be done for it
+	x.writeStatus(f.status)
+	_, _ = x.w.Write([]byte(text)) // the caller may have disconnected
 }
 
-// finish counts and logs the request.
-func (x *exchange) finish(status int, reason string, err error) {
+// recordOutcome counts and logs the request.
+func (x *exchange) recordOutcome(status int, reason string, err error) {
 	took := time.Since(x.arrived)
 	route, config := "", int64(0)
 	if x.route != nil {
@@ -234,10 +235,10 @@
 		config = x.table.Config.Version
 	}
 	x.g.stats.request(reason, took)
-	fields := logrus.Fields{"event": "request", "id": x.info.ID, "route": route, "config": config, "outcome": reason,
-		"ms": took.Milliseconds(), "attempts": describe(x.attempts)}
-	if x.info.Program != "" {
-		fields["program"] = x.info.Program
+	fields := logrus.Fields{"event": "request", "id": x.requestInfo.ID, "route": route, "config": config, "outcome": reason,
+		"ms": took.Milliseconds(), "attempts": formatAttempts(x.attempts)}
+	if x.requestInfo.Program != "" {
+		fields["program"] = x.requestInfo.Program
 	}
 	if x.organisation != nil {
 		x.g.stats.organisation(x.table.MetricLabel(x.organisation.Name), reason)
@@ -254,10 +255,10 @@
 	x.g.log.WithFields(fields).Info("request ended")
 }
 
-// left returns the time until the request is given up, or 0 where nothing bounds it.
-func (x *exchange) left() time.Duration {
-	if x.until.IsZero() {
+// timeLeft returns the time until the deadline, at least a millisecond, or 0 if there is none.
+func (x *exchange) timeLeft() time.Duration {
+	if x.deadline.IsZero() {
 		return 0
 	}
-	return max(time.Until(x.until), time.Millisecond)
+	return max(time.Until(x.deadline), time.Millisecond)
 }
--- a/internal/front/gateway/gateway_test.go
+++ b/internal/front/gateway/gateway_test.go
@@ -18,7 +18,7 @@
 	"github.com/rookpass/rookpass/internal/turns/ledger"
 )
 
-// echo answers with the request's body, signed.
+// echo responds with the request's body, signed.
 func echo(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("Id", r.Header.Get("Id"))
@@ -26,15 +26,15 @@
 	_, _ = w.Write(body)
 }
 
-func shed(w http.ResponseWriter, r *http.Request) {
+func respondNotRun(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Id", r.Header.Get("Id"))
 	w.Header().Set("Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func counted(n *atomic.Int64, h http.HandlerFunc) http.HandlerFunc {
+func countRequests(n *atomic.Int64, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n.Add(1)
 		h(w, r)
@@ -47,23 +47,23 @@
 		path   string
 		server http.HandlerFunc
 		status int
-		// sent is how many servers of three must have got the request.
+		// sent is how many of three servers must receive the request.
 		sent int
 	}{
 		{"answered", "/twice/x", echo, 200, 1},
 		{"answered once", "/once/x", echo, 200, 1},
-		{"full everywhere", "/twice/x", shed, 503, 3},
-		{"full everywhere, once", "/once/x", shed, 503, 3},
-		{"broken everywhere", "/twice/x", hangUp, 502, 3},
-		{"broken, once", "/once/x", hangUp, 502, 1},
+		{"full everywhere", "/twice/x", respondNotRun, 503, 3},
+		{"full everywhere, once", "/once/x", respondNotRun, 503, 3},
+		{"broken everywhere", "/twice/x", abortConnection, 502, 3},
+		{"broken, once", "/once/x", abortConnection, 502, 1},
 		{"unsigned success", "/once/x", func(w http.ResponseWriter, r *http.Request) { w.Header().Set("Id", r.Header.Get("Id")) }, 502, 1},
 		{"no route", "/none/x", echo, 404, 0},
 		{"body above the limit", "/twice/big", echo, 413, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var sent atomic.Int64
-			h := counted(&sent, c.server)
-			r := newRig(t, h, h, h)
+			h := countRequests(&sent, c.server)
+			r := newFixture(t, h, h, h)
 			body := "hello"
 			if strings.HasSuffix(c.path, "big") {
 				body = strings.Repeat("x", 1001)
@@ -81,30 +81,30 @@
 	}
 }
 
-func TestIdempotentRequestsGoOnToAnotherServer(t *testing.T) {
-	r := newRig(t, hangUp, hangUp, echo)
+func TestIdempotentRequestsAreRetried(t *testing.T) {
+	r := newFixture(t, abortConnection, abortConnection, echo)
 	for range 5 {
 		assert.Equal(t, r.send("/twice/x", "hello").status, 200)
 	}
 }
 
-func TestServersFailureIsPassedOnUnchanged(t *testing.T) {
+func TestServerErrorIsForwardedUnchanged(t *testing.T) {
 	h := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
 		w.Header().Set("Seal", "of the server")
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = w.Write([]byte("why"))
 	}
-	got := newRig(t, h).send("/once/x", "hello")
+	got := newFixture(t, h).send("/once/x", "hello")
 	assert.Equal(t, got.status, 500)
 	assert.Equal(t, got.body, "why")
 	assert.Equal(t, got.header.Get("Seal"), "of the server")
 }
 
-func TestRouteTimeoutGetsAFinalAnswer(t *testing.T) {
+func TestDeadlineExceeded(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	r := newRig(t, func(_ http.ResponseWriter, r *http.Request) {
+	r := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-release
 	})
@@ -112,7 +112,7 @@
 	assert.Equal(t, got.status, http.StatusGatewayTimeout)
 }
 
-// stream answers with events that hold the request's body, one for each word.
+// stream responds with an event for each word of the request's body.
 func stream(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.Header().Set("Id", r.Header.Get("Id"))
@@ -124,9 +124,9 @@
 	}
 }
 
-func TestTurnsGetTheirHistory(t *testing.T) {
+func TestTurnsIncludeHistory(t *testing.T) {
 	var bodies []string
-	r := newRig(t, func(w http.ResponseWriter, r *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		bodies = append(bodies, string(body))
 		r.Body = io.NopCloser(strings.NewReader("a b"))
@@ -137,7 +137,7 @@
 	r.send("/turn/x", "two", "Id", "t2", "Program", "p", "Previous", "t1")
 	r.send("/turn/x", "fork", "Id", "t3", "Program", "p", "Previous", "t1")
 	r.send("/turn/x", "three", "Id", "t4", "Program", "p", "Previous", "t2")
-	// A new program that goes on from another's turn, and one turn more.
+	// A new program that continues from another program's turn, and one more turn.
 	r.send("/turn/x", "new", "Id", "n1", "Program", "q", "Previous", "t2")
 	r.send("/turn/x", "next", "Id", "n2", "Program", "q", "Previous", "n1")
 	assert.DeepEqual(t, bodies, []string{
@@ -148,34 +148,34 @@
 		"one<a>\n<b>\ntwo<a>\n<b>\nnew",
 		"one<a>\n<b>\ntwo<a>\n<b>\nnew<a>\n<b>\nnext",
 	})
-	assert.Equal(t, r.books.turns["n1"].Previous, "", "a program's records must not depend on another program's")
-	assert.Equal(t, r.books.turns["t1"].Tokens, int64(6), "two events of three tokens")
+	assert.Equal(t, r.ledger.turns["n1"].Previous, "", "a program's records must not depend on another program's")
+	assert.Equal(t, r.ledger.turns["t1"].Tokens, int64(6), "two events of three tokens")
 }
 
 func TestTurnRefusals(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		prepare func(*books)
+		prepare func(*memoryLedger)
 		server  http.HandlerFunc
 		headers []string
 		status  int
 		voided  bool
 	}{
-		{"no such turn", func(*books) {}, stream, []string{"Previous", "none"}, 404, true},
-		{"history unsure", func(b *books) { b.fail["chain"] = ledger.ErrUnavailable }, stream, []string{"Previous", "t"}, 503, true},
-		{"budget spent", func(b *books) { b.spent = 950 }, stream, nil, 402, true},
-		{"budget unsure", func(b *books) { b.fail["reserve"] = ledger.ErrUnavailable }, stream, nil, 503, true},
-		{"servers full", func(*books) {}, shed, nil, 503, true},
-		{"broken at the start", func(*books) {}, hangUp, nil, 502, false},
-		{"without an id", func(*books) {}, stream, []string{"Id", ""}, 400, false},
+		{"no such turn", func(*memoryLedger) {}, stream, []string{"Previous", "none"}, 404, true},
+		{"history unsure", func(b *memoryLedger) { b.fail["chain"] = ledger.ErrUnavailable }, stream, []string{"Previous", "t"}, 503, true},
+		{"budget spent", func(b *memoryLedger) { b.spent = 950 }, stream, nil, 402, true},
+		{"budget unsure", func(b *memoryLedger) { b.fail["reserve"] = ledger.ErrUnavailable }, stream, nil, 503, true},
+		{"servers full", func(*memoryLedger) {}, respondNotRun, nil, 503, true},
+		{"broken at the start", func(*memoryLedger) {}, abortConnection, nil, 502, false},
+		{"without an id", func(*memoryLedger) {}, stream, []string{"Id", ""}, 400, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var sent atomic.Int64
-			r := newRig(t, counted(&sent, c.server))
-			c.prepare(r.books)
+			r := newFixture(t, countRequests(&sent, c.server))
+			c.prepare(r.ledger)
 			got := r.send("/turn/x", "one", append([]string{"Program", "p", "Budget", "1000"}, c.headers...)...)
 			assert.Equal(t, got.status, c.status)
-			assert.Equal(t, len(r.books.voided) == 1, c.voided)
+			assert.Equal(t, len(r.ledger.released) == 1, c.voided)
 			if c.status >= 400 && c.status < 500 {
 				assert.Equal(t, int(sent.Load()), 0)
 			}
@@ -183,33 +183,33 @@
 	}
 }
 
-// TestTurnThatIsNotKeptDoesNotEnd: a caller must not take a turn for whole that could be lost.
-func TestTurnThatIsNotKeptDoesNotEnd(t *testing.T) {
-	r := newRig(t, stream)
-	r.books.fail["finish"] = errors.New("disks away")
+// TestStreamAbortedWhenTurnIsNotRecorded guards against callers that take a turn for complete that was not stored.
+func TestStreamAbortedWhenTurnIsNotRecorded(t *testing.T) {
+	r := newFixture(t, stream)
+	r.ledger.fail["finish"] = errors.New("ledger unavailable")
 	got := r.send("/turn/x", "one", "Program", "p")
 	assert.Assert(t, got.broken)
-	assert.Equal(t, len(r.books.turns), 0)
+	assert.Equal(t, len(r.ledger.turns), 0)
 }
 
-// TestBrokenStreamDoesNotEnd: the server breaks off in the middle; the caller sees that, and nothing is kept.
-func TestBrokenStreamDoesNotEnd(t *testing.T) {
-	r := newRig(t, func(w http.ResponseWriter, r *http.Request) {
+// TestBrokenStreamIsNotRecorded checks that if a server aborts its response, so does the gateway, and no turn is
+// stored.
+func TestBrokenStreamIsNotRecorded(t *testing.T) {
+	r := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		stream(w, r)
 		panic(http.ErrAbortHandler)
 	})
 	got := r.send("/turn/x", "one two", "Program", "p", "Budget", "1000")
 	assert.Assert(t, got.broken)
-	assert.Equal(t, len(r.books.turns), 0)
-	assert.Equal(t, len(r.books.voided), 0, "what was handed out counts")
+	assert.Equal(t, len(r.ledger.turns), 0)
+	assert.Equal(t, len(r.ledger.released), 0, "tokens that were sent must stay counted")
 }
 
-// TestCallerThatLeavesStopsTheServer: the server's connection closes when the caller's does.
-func TestCallerThatLeavesStopsTheServer(t *testing.T) {
+func TestCallerDisconnectCancelsServerRequest(t *testing.T) {
 	for _, path := range []string{"/once/x", "/twice/x", "/turn/x"} {
 		t.Run(path, func(t *testing.T) {
 			began, stopped := make(chan struct{}), make(chan struct{})
-			r := newRig(t, func(_ http.ResponseWriter, r *http.Request) {
+			r := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				close(began)
 				<-r.Context().Done()
@@ -230,10 +230,10 @@
 	}
 }
 
-// TestSmuggledRequestStaysABody: what looks like a request inside a body reaches no server as one.
-func TestSmuggledRequestStaysABody(t *testing.T) {
+// TestRequestSmuggling checks that a request inside of a body does not reach a server as a request.
+func TestRequestSmuggling(t *testing.T) {
 	var seen []string
-	r := newRig(t, func(w http.ResponseWriter, r *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		seen = append(seen, r.Method+" "+r.RequestURI+" "+string(body))
 		w.Header().Set("Id", r.Header.Get("Id"))
@@ -250,24 +250,24 @@
 	assert.DeepEqual(t, seen, []string{"POST /once/outer " + inner})
 }
 
-// TestRefusalsPromiseOnlyWhatHolds: over all ways in which a server may fail a request that must not run
-// twice, the answer says "not run" only if no server may have begun on it.
-func TestRefusalsPromiseOnlyWhatHolds(t *testing.T) {
+// TestNotRunStatusOnlyWhenNoServerRan checks that a request that must run at most once is refused as not run only if
+// no server may have started it.
+func TestNotRunStatusOnlyWhenNoServerRan(t *testing.T) {
 	for _, v := range []verdict.Verdict{verdict.NotRun, verdict.MayHaveRun} {
 		for _, path := range []string{"/once/x", "/turn/x"} {
-			h := hangUp
+			h := abortConnection
 			if v == verdict.NotRun {
-				h = shed
+				h = respondNotRun
 			}
-			got := newRig(t, h, h, h).send(path, "x", "Program", "p")
+			got := newFixture(t, h, h, h).send(path, "x", "Program", "p")
 			assert.Equal(t, got.status == 503, v == verdict.NotRun, "%s %s: %d", path, v, got.status)
 		}
 	}
 }
 
-// TestSilentServerIsOvertaken: a request that may run twice is asked of another server while the first is
-// silent; one that must not is not.
-func TestSilentServerIsOvertaken(t *testing.T) {
+// TestIdempotentRequestsAreHedged checks that a second server is asked while the first is silent, but not for requests
+// that must run at most once.
+func TestIdempotentRequestsAreHedged(t *testing.T) {
 	var sent atomic.Int64
 	release := make(chan struct{})
 	defer close(release)
@@ -279,7 +279,7 @@
 		}
 		echo(w, r)
 	}
-	r := newRig(t, first, first)
+	r := newFixture(t, first, first)
 	assert.Equal(t, r.send("/twice/x", "hello").status, 200)
 	assert.Equal(t, sent.Load(), int64(2))
 	sent.Store(0)
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -13,78 +13,78 @@
 )
 
 const (
-	// retryUnproved is for a daemon that can't say whether a key holds: the caller's next try most likely reaches another
-	// daemon, and this one knows when its next watch is answered.
-	retryUnproved = 300 * time.Millisecond
-	// retryUncounted is for an organisation whose requests too few daemons can count: about the time in which a daemon that
-	// died is found out.
-	retryUncounted = 200 * time.Millisecond
-	// leastReturn is the least time that a caller over its organisation's limit is told to stay away.
-	leastReturn = 20 * time.Millisecond
-	// reasonOverLimit is why a request is refused whose organisation is at its limit.
+	// retryKeyUnknown is for requests whose key can't be checked because the configuration is too old. Another daemon
+	// may have a newer one, and this daemon's watch will return soon.
+	retryKeyUnknown = 300 * time.Millisecond
+	// retryQuotaUnavailable is for requests that too few daemons could count. Dead daemons are detected within about
+	// this time.
+	retryQuotaUnavailable = 200 * time.Millisecond
+	// minRetryAfter is the shortest retry time for a caller over its organisation's rate limit.
+	minRetryAfter = 20 * time.Millisecond
+	// reasonOverLimit is the refusal reason of requests over their organisation's rate limit.
 	reasonOverLimit = "over-limit"
 )
 
-// withOrganisation finds the organisation that the caller's key proves, before anything is spent on the request.
+// withOrganisation finds the organisation of the caller's key, before any resources are used for the request.
 func withOrganisation(x *exchange) *refusal {
 	if !x.table.Config.RequireKeys || x.route.Public {
 		return nil
 	}
-	if x.info.HasKey {
-		x.organisation = x.table.OrganisationByKey(x.info.Key)
+	if x.requestInfo.HasKey {
+		x.organisation = x.table.OrganisationByKey(x.requestInfo.Key)
 	}
-	return refusalOfProof(x.g.proofs.KeyStatus(x.organisation != nil, x.tableAge))
+	return refusalForKey(x.g.configAgeLimits.KeyStatus(x.organisation != nil, x.tableAge))
 }
 
-// stillProved looks at the caller's key once more: the request may have waited since it came.
-func (x *exchange) stillProved() *refusal {
+// recheckKey checks the caller's key again after the request was queued: it may have been revoked meanwhile.
+func (x *exchange) recheckKey() *refusal {
 	if x.organisation == nil {
 		return nil
 	}
 	table, age := x.g.catalog.TableWithAge()
-	// A key that was passed on meanwhile proves the organisation that had it when the request came.
-	return refusalOfProof(x.g.proofs.KeyStatus(table.OrganisationByKey(x.info.Key) != nil, age))
+	// A key moved to another organisation meanwhile counts for the one that had it when the request arrived.
+	return refusalForKey(x.g.configAgeLimits.KeyStatus(table.OrganisationByKey(x.requestInfo.Key) != nil, age))
 }
 
-// refusalOfProof returns what a caller is told whose key is not proved.
-func refusalOfProof(p policy.KeyStatus) *refusal {
+// refusalForKey returns the refusal for the status of a key, or nil if the key is valid.
+func refusalForKey(p policy.KeyStatus) *refusal {
 	switch p {
 	case policy.KeyValid:
 		return nil
 	case policy.KeyInvalid:
 		return &refusal{status: http.StatusUnauthorized, reason: "key-unknown"}
 	default:
-		return &refusal{status: http.StatusServiceUnavailable, reason: "key-unproved", retryAfter: jitter(retryUnproved)}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "key-unproved", retryAfter: jitter(retryKeyUnknown)}
 	}
 }
 
-// withinLimit takes the organisation's right to one more request.
-func withinLimit(x *exchange) *refusal {
+// withinRateLimit takes one request from the organisation's rate limit, and waits if the grant says so.
+func withinRateLimit(x *exchange) *refusal {
 	if x.organisation == nil || !x.organisation.Limit.Bounded() {
 		return nil
 	}
 	began := time.Now()
 	grant, err := x.g.quotas.Take(x.ctx, quota.Request{Organisation: x.organisation.Name, Limit: x.organisation.Limit,
-		Version: x.table.Config.Version, First: x.beginsProgram()})
+		Version: x.table.Config.Version, First: x.startsProgram()})
 	x.g.stats.quota(time.Since(began))
-	x.logLimit(grant, err)
+	x.logRateLimit(grant, err)
 	var over *quota.OverLimitError
 	switch {
 	case err == nil:
 		x.grant = grant
-		_ = wait.For(x.ctx, grant.Wait) // a caller that leaves meanwhile is seen by the next step
+		_ = wait.For(x.ctx, grant.Wait) // a caller that disconnects meanwhile is detected by the next step
 		return nil
 	case errors.As(err, &over):
-		return &refusal{status: http.StatusTooManyRequests, reason: reasonOverLimit, retryAfter: jitter(max(over.Wait, leastReturn)), err: err}
+		return &refusal{status: http.StatusTooManyRequests, reason: reasonOverLimit, retryAfter: jitter(max(over.Wait, minRetryAfter)), err: err}
 	default:
-		return &refusal{status: http.StatusServiceUnavailable, reason: "limit-unsure", retryAfter: jitter(retryUncounted), err: err}
+		return &refusal{status: http.StatusServiceUnavailable, reason: "limit-unsure", retryAfter: jitter(retryQuotaUnavailable), err: err}
 	}
 }
 
-// logLimit tells of a request that its organisation's limit held up.
-func (x *exchange) logLimit(grant *quota.Grant, err error) {
-	fields := logrus.Fields{"event": "limit", "id": x.info.ID, "organisation": x.organisation.Name, "per_s": x.organisation.Limit.PerSecond,
-		"burst": x.organisation.Limit.Burst, "config": x.table.Config.Version, "first": x.beginsProgram()}
+// logRateLimit logs a request that was refused or delayed by its organisation's rate limit.
+func (x *exchange) logRateLimit(grant *quota.Grant, err error) {
+	fields := logrus.Fields{"event": "limit", "id": x.requestInfo.ID, "organisation": x.organisation.Name, "per_s": x.organisation.Limit.PerSecond,
+		"burst": x.organisation.Limit.Burst, "config": x.table.Config.Version, "first": x.startsProgram()}
 	switch {
 	case err != nil:
 		fields["outcome"], fields["error"] = "refused", err
@@ -93,22 +93,22 @@
 	default:
 		return
 	}
-	x.g.log.WithFields(fields).Info("organisation at its limit")
+	x.g.log.WithFields(fields).Info("organisation reached its rate limit")
 }
 
-// beginsProgram tells whether a program begins with the request, as far as the request says.
-func (x *exchange) beginsProgram() bool {
-	return x.info.Program != "" && x.route.RetainTurns && x.info.PreviousTurn == ""
+// startsProgram reports whether the request is the first turn of a program, as far as its headers tell.
+func (x *exchange) startsProgram() bool {
+	return x.requestInfo.Program != "" && x.route.RetainTurns && x.requestInfo.PreviousTurn == ""
 }
 
-// returnGrant gives the organisation's right back where no server can have run the request.
+// returnGrant returns the grant if no server can have run the request.
 func (x *exchange) returnGrant() {
-	if x.mayRun.Load() == 0 {
+	if x.possibleRuns.Load() == 0 {
 		x.grant.Return()
 	}
 }
 
-// organisationName returns the name of the caller's organisation, or nothing.
+// organisationName returns the name of the caller's organisation, or "" if it has none.
 func (x *exchange) organisationName() string {
 	if x.organisation == nil {
 		return ""
@@ -116,7 +116,7 @@
 	return x.organisation.Name
 }
 
-// priority returns the request's rank, 0 first: its organisation's goes before its route's.
+// priority returns the request's priority, 0 first. That of its organisation overrides that of its route.
 func (x *exchange) priority() int {
 	if x.organisation != nil && x.organisation.HasPriority {
 		return x.organisation.Priority
--- a/internal/front/gateway/organisation_test.go
+++ b/internal/front/gateway/organisation_test.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	// keyWithdrawal and keyAddition are when a withdrawn and an added key must be known.
-	keyWithdrawal = 5 * time.Second
-	keyAddition   = 3 * time.Second
+	// maxRevocationDelay and maxAdditionDelay are the times within which a revoked and an added key must be known.
+	maxRevocationDelay = 5 * time.Second
+	maxAdditionDelay   = 3 * time.Second
 )
 
-// limits grants requests, or answers with an error.
-type limits struct {
-	mu    sync.Mutex
-	asked []quota.Request
-	err   error
-	wait  time.Duration
+// fakeQuotas grants all requests, or returns err.
+type fakeQuotas struct {
+	mu       sync.Mutex
+	requests []quota.Request
+	err      error
+	wait     time.Duration
 }
 
-func (c *limits) Take(_ context.Context, r quota.Request) (*quota.Grant, error) {
+func (c *fakeQuotas) Take(_ context.Context, r quota.Request) (*quota.Grant, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked = append(c.asked, r)
+	c.requests = append(c.requests, r)
 	if c.err != nil {
 		return nil, c.err
 	}
 	return &quota.Grant{Wait: c.wait}, nil
 }
 
-// keyed puts a configuration in force whose callers need keys, as of an age.
-func (r *rig) keyed(age time.Duration, organisations ...catalog.Organisation) {
+// requireKeys applies a configuration that requires keys and was confirmed the given time ago.
+func (r *fixture) requireKeys(age time.Duration, organisations ...catalog.Organisation) {
 	r.config.Version++
 	r.config.RequireKeys, r.config.Organisations = true, organisations
 	r.configs.Change(objectapi.Event{Object: objectapi.Object{Key: "c/main"}})
@@ -58,24 +58,24 @@
 	return o
 }
 
-// who answers with the organisation that a server was told.
-func who(w http.ResponseWriter, r *http.Request) {
+// echoOrganisation responds with the organisation that the server was told, or with an error if a header has a key.
+func echoOrganisation(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Id", r.Header.Get("Id"))
 	w.Header().Set("Seal", "s")
 	text := r.Header.Get("Organisation")
 	for name, values := range r.Header {
 		if strings.Contains(strings.Join(values, " "), "key-of-") {
-			text = "the key came along in " + name
+			text = "key forwarded in header " + name
 		}
 	}
 	_, _ = w.Write([]byte(text))
 }
 
-func TestKeyProvesAnOrganisation(t *testing.T) {
-	r := newRig(t, who)
+func TestAPIKeyIdentifiesOrganisation(t *testing.T) {
+	r := newFixture(t, echoOrganisation)
 	r.config.Routes = append(r.config.Routes, catalog.Route{Name: "open", Host: "127.0.0.1", Prefix: "/open/", Kind: catalog.Idempotent,
 		MaxAttempts: 1, Targets: []catalog.Target{{Service: "svc", Weight: 1}}, Public: true})
-	r.keyed(0, organisation("north", "key-of-north", "key-of-both"), organisation("south", "key-of-south", "key-of-both"))
+	r.requireKeys(0, organisation("north", "key-of-north", "key-of-both"), organisation("south", "key-of-south", "key-of-both"))
 	for name, c := range map[string]struct {
 		path, key string
 		status    int
@@ -95,91 +95,93 @@
 			if c.status == http.StatusOK {
 				assert.Equal(t, got.body, c.told)
 			}
-			assert.Assert(t, !strings.Contains(got.body, "key-of"), "an answer holds a key: %q", got.body)
+			assert.Assert(t, !strings.Contains(got.body, "key-of"), "response contains a key: %q", got.body)
 		})
 	}
 }
 
-// TestOldConfigurationProvesNothing: a daemon that may have missed a key's withdrawal or addition says that it isn't sure.
-func TestOldConfigurationProvesNothing(t *testing.T) {
+// TestKeysWithStaleConfig checks that a daemon that may have missed a key's revocation or addition refuses with a
+// retryable status.
+func TestKeysWithStaleConfig(t *testing.T) {
 	for _, c := range []struct {
 		age    time.Duration
 		key    string
 		status int
 	}{
 		{0, "key-of-north", http.StatusOK},
-		{keyAddition + 100*time.Millisecond, "key-of-north", http.StatusOK},
-		{keyAddition + 100*time.Millisecond, "key-of-nobody", http.StatusServiceUnavailable},
-		{keyWithdrawal, "key-of-north", http.StatusServiceUnavailable},
+		{maxAdditionDelay + 100*time.Millisecond, "key-of-north", http.StatusOK},
+		{maxAdditionDelay + 100*time.Millisecond, "key-of-nobody", http.StatusServiceUnavailable},
+		{maxRevocationDelay, "key-of-north", http.StatusServiceUnavailable},
 	} {
-		r := newRig(t, who)
-		r.keyed(c.age, organisation("north", "key-of-north"))
+		r := newFixture(t, echoOrganisation)
+		r.requireKeys(c.age, organisation("north", "key-of-north"))
 		got := r.send("/twice/", "x", "Api-Key", c.key)
 		assert.Equal(t, got.status, c.status, "%+v", c)
 		assert.Equal(t, got.header.Get("Retry-After") != "", c.status == http.StatusServiceUnavailable, "%+v", c)
 	}
-	r := newRig(t, who)
+	r := newFixture(t, echoOrganisation)
 	r.config.Version++
 	r.config.RequireKeys, r.config.Organisations = true, []catalog.Organisation{organisation("north", "key-of-north")}
-	r.configs.Reset([]objectapi.Object{{Key: "c/main"}}, 2) // an old copy: nobody has said that it is the newest
+	r.configs.Reset([]objectapi.Object{{Key: "c/main"}}, 2) // a list that was not confirmed to be the newest
 	assert.Equal(t, r.send("/twice/", "x", "Api-Key", "key-of-north").status, http.StatusServiceUnavailable)
 }
 
-// awaitWaiting returns once so many turns wait for a place.
-func (r *rig) awaitWaiting(n int) {
-	for r.gate.Waiting() < n {
+// waitUntilQueued returns once the scheduler has at least n queued turns.
+func (r *fixture) waitUntilQueued(n int) {
+	for r.scheduler.Waiting() < n {
 		runtime.Gosched()
 	}
 }
 
-// TestWithdrawnWhileItWaited: a turn that waited for a place is looked at again before it goes to a server.
-func TestWithdrawnWhileItWaited(t *testing.T) {
+// TestKeyRevokedWhileQueued checks that the key is checked again before a queued turn is sent to a server.
+func TestKeyRevokedWhileQueued(t *testing.T) {
 	release := make(chan struct{})
-	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
+	r := newFixture(t, func(w http.ResponseWriter, req *http.Request) {
 		<-release
 		stream(w, req)
 	})
-	r.keyed(0, organisation("north", "key-of-north"), organisation("south", "key-of-south"))
+	r.requireKeys(0, organisation("north", "key-of-north"), organisation("south", "key-of-south"))
 	var done sync.WaitGroup
-	for i := range 8 { // more than the server takes
+	for i := range 8 { // more than the server has slots
 		done.Go(func() { r.send("/turn/", strings.Repeat("x", i+1), "Api-Key", "key-of-north", "Program", "p") })
 	}
-	r.awaitWaiting(1)
+	r.waitUntilQueued(1)
 	waiting := make(chan reply)
 	go func() { waiting <- r.send("/turn/", "waits", "Api-Key", "key-of-south", "Program", "q") }()
-	r.awaitWaiting(r.gate.Waiting() + 1)
-	r.keyed(0, organisation("north", "key-of-north"))
+	r.waitUntilQueued(r.scheduler.Waiting() + 1)
+	r.requireKeys(0, organisation("north", "key-of-north"))
 	close(release)
 	assert.Equal(t, (<-waiting).status, http.StatusUnauthorized)
 	done.Wait()
 }
 
-// TestOrganisationsShareNoTurns: ids of two organisations may be equal, and nobody goes on from another's turn.
-func TestOrganisationsShareNoTurns(t *testing.T) {
+// TestTurnsAreScopedToOrganisation checks that ids of two organisations may be equal, and no caller can continue
+// another organisation's turn.
+func TestTurnsAreScopedToOrganisation(t *testing.T) {
 	var prompts []string
-	r := newRig(t, func(w http.ResponseWriter, req *http.Request) {
-		body, _ := io.ReadAll(req.Body) // it is compared below
+	r := newFixture(t, func(w http.ResponseWriter, req *http.Request) {
+		body, _ := io.ReadAll(req.Body) // a truncated body fails the comparison below
 		prompts = append(prompts, string(body))
 		stream(w, req)
 	})
-	r.keyed(0, organisation("north", "key-of-north"), organisation("south", "key-of-south"))
+	r.requireKeys(0, organisation("north", "key-of-north"), organisation("south", "key-of-south"))
 	assert.Equal(t, r.send("/turn/", "a", "Api-Key", "key-of-north", "Program", "p").status, http.StatusOK)
 	assert.Equal(t, r.send("/turn/", "b", "Api-Key", "key-of-south", "Program", "p", "Previous", "id-a").status, http.StatusNotFound)
 	assert.Equal(t, r.send("/turn/", "b", "Api-Key", "key-of-north", "Program", "p", "Previous", "id-a").status, http.StatusOK)
-	assert.Equal(t, r.send("/turn/", "a", "Api-Key", "key-of-south", "Program", "p").status, http.StatusOK, "the same id is another turn")
+	assert.Equal(t, r.send("/turn/", "a", "Api-Key", "key-of-south", "Program", "p").status, http.StatusOK, "the same id of another organisation is another turn")
 	assert.Equal(t, len(prompts), 3)
 	assert.Equal(t, prompts[2], "a")
 }
 
-func TestLimitOfAnOrganisation(t *testing.T) {
-	r := newRig(t, who)
+func TestOrganisationRateLimit(t *testing.T) {
+	r := newFixture(t, echoOrganisation)
 	bounded := organisation("north", "key-of-north")
 	bounded.Limit = quota.Limit{PerSecond: 5, Burst: 5}
-	r.keyed(0, bounded, organisation("south", "key-of-south"))
+	r.requireKeys(0, bounded, organisation("south", "key-of-south"))
 	assert.Equal(t, r.send("/twice/", "x", "Api-Key", "key-of-south").status, http.StatusOK)
-	assert.Equal(t, len(r.quotas.asked), 0, "nobody counts what has no limit")
+	assert.Equal(t, len(r.quotas.requests), 0, "requests without a limit must not be counted")
 	assert.Equal(t, r.send("/twice/", "x", "Api-Key", "key-of-north").status, http.StatusOK)
-	assert.DeepEqual(t, r.quotas.asked, []quota.Request{{Organisation: "north", Limit: bounded.Limit, Version: r.config.Version}})
+	assert.DeepEqual(t, r.quotas.requests, []quota.Request{{Organisation: "north", Limit: bounded.Limit, Version: r.config.Version}})
 	r.quotas.err = &quota.OverLimitError{Wait: 700 * time.Millisecond}
 	got := r.send("/twice/", "x", "Api-Key", "key-of-north")
 	assert.Equal(t, got.status, http.StatusTooManyRequests)
@@ -188,7 +190,7 @@
 	assert.Equal(t, r.send("/twice/", "x", "Api-Key", "key-of-north").status, http.StatusServiceUnavailable)
 	r.quotas.err = nil
 	r.send("/turn/", "first", "Api-Key", "key-of-north", "Program", "p")
-	assert.Assert(t, r.quotas.asked[len(r.quotas.asked)-1].First, "a program begins")
+	assert.Assert(t, r.quotas.requests[len(r.quotas.requests)-1].First, "the first turn of a program must be marked")
 	r.send("/turn/", "next", "Api-Key", "key-of-north", "Program", "p", "Previous", "id-first")
-	assert.Assert(t, !r.quotas.asked[len(r.quotas.asked)-1].First)
+	assert.Assert(t, !r.quotas.requests[len(r.quotas.requests)-1].First)
 }
--- a/internal/front/gateway/plain.go
+++ b/internal/front/gateway/plain.go
@@ -16,104 +16,104 @@
 	"github.com/rookpass/rookpass/internal/transport/upstream"
 )
 
-// bufferBytes of an answer are read before any of it is passed on, so that a broken answer can be replaced
-// by another server's.
-const bufferBytes = 256 << 10
+// maxBufferedBytes of a response are buffered before any of it is forwarded, so that a truncated response can be
+// replaced by another server's.
+const maxBufferedBytes = 256 << 10
 
-func random() float64 { return rand.Float64() }
+func randomFraction() float64 { return rand.Float64() }
 
-// servePlain sends a request to servers until one answers it, within the route's number of attempts. Where it
-// may run twice, another server is asked beside one that is silent for long.
+// servePlain sends the request to servers until one responds, up to the route's number of attempts. Idempotent
+// requests are hedged: if a server is slow to respond, another one is asked in parallel.
 func (x *exchange) servePlain() *refusal {
-	c := &contest{x: x, ask: balance.Request{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, Connected: x.connected},
-		ended: make(chan *try, x.route.MaxAttempts)}
-	defer c.abandon()
+	c := &hedgedRequest{x: x, balancerRequest: balance.Request{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, Connected: x.hasIdleConnection},
+		results: make(chan *attemptResult, x.route.MaxAttempts)}
+	defer c.cancelRemaining()
 	hedge := time.NewTimer(x.g.balancer.HedgeAfter(x.route.Name))
 	defer hedge.Stop()
 	for {
-		if c.running == 0 && !c.launch() {
-			return x.broken(c.mayHaveRun, c.last)
+		if c.running == 0 && !c.startAttempt() {
+			return x.failureResponse(c.mayHaveRun, c.lastErr)
 		}
 		select {
-		case t := <-c.ended:
+		case t := <-c.results:
 			c.running--
 			if t.failure == nil {
-				return x.pass(t)
+				return x.forwardResponse(t)
 			}
-			if final := c.lost(t); final != nil {
+			if final := c.handleFailure(t); final != nil {
 				return final
 			}
 		case <-hedge.C:
 			if x.route.Kind == catalog.Idempotent {
-				c.launch()
+				c.startAttempt()
 			}
 		}
 	}
 }
 
-// contest is a request's tries at servers, of which the first whole answer wins.
-type contest struct {
-	x       *exchange
-	ask     balance.Request
-	ended   chan *try
-	running int
-	// sent counts the tries that may have reached a server.
-	sent       int
+// hedgedRequest is a request's attempts at servers, of which the first complete response wins.
+type hedgedRequest struct {
+	x               *exchange
+	balancerRequest balance.Request
+	results         chan *attemptResult
+	running         int
+	// attempts counts the attempts that may have reached a server.
+	attempts   int
 	mayHaveRun bool
-	last       error
+	lastErr    error
 	cancels    []context.CancelFunc
 }
 
-// try is one try at one server. A whole answer's head is its first bufferBytes.
-type try struct {
-	choice  *balance.Choice
-	began   time.Time
-	answer  *upstream.Response
-	head    []byte
-	more    bool
-	failure *upstream.Failure
+// attemptResult is the result of one attempt: a failure, or a response whose first maxBufferedBytes are buffered.
+type attemptResult struct {
+	choice    *balance.Choice
+	began     time.Time
+	answer    *upstream.Response
+	buffered  []byte
+	truncated bool
+	failure   *upstream.Failure
 }
 
-// launch begins a try at another server, or returns false where no more are left.
-func (c *contest) launch() bool {
-	if c.sent >= c.x.route.MaxAttempts {
+// startAttempt starts an attempt at another server, or returns false if none is left.
+func (c *hedgedRequest) startAttempt() bool {
+	if c.attempts >= c.x.route.MaxAttempts {
 		return false
 	}
-	c.x.look(&c.ask)
-	choice, found := c.x.g.balancer.Pick(&c.ask)
+	c.x.refreshServers(&c.balancerRequest)
+	choice, found := c.x.g.balancer.Pick(&c.balancerRequest)
 	if !found {
 		return false
 	}
-	c.ask.Tried[choice.Server.ID] = true
-	c.sent++
+	c.balancerRequest.Tried[choice.Server.ID] = true
+	c.attempts++
 	c.running++
 	ctx, cancel := context.WithCancelCause(c.x.ctx)
 	choice.CancelOnRestart(cancel)
 	c.cancels = append(c.cancels, func() { cancel(nil) })
-	replace := c.sent < c.x.route.MaxAttempts
-	go func() { c.ended <- c.x.fetch(ctx, choice, replace) }()
+	replace := c.attempts < c.x.route.MaxAttempts
+	go func() { c.results <- c.x.fetch(ctx, choice, replace) }()
 	return true
 }
 
-// lost records a failed try, and returns the refusal where nothing more may be tried.
-func (c *contest) lost(t *try) *refusal {
-	c.x.noteFailure(t.choice, t.began, t.failure)
-	c.last = t.failure
+// handleFailure records a failed attempt. It returns a refusal if no further attempt may be made.
+func (c *hedgedRequest) handleFailure(t *attemptResult) *refusal {
+	c.x.recordFailure(t.choice, t.began, t.failure)
+	c.lastErr = t.failure
 	switch t.failure.Reason {
-	case upstream.ReasonDial, upstream.ReasonNoConns, reasonGone:
-		c.sent-- // no server got it
+	case upstream.ReasonDial, upstream.ReasonNoConns, reasonMisdirected:
+		c.attempts-- // no server received the request
 	}
 	if t.failure.Verdict != verdict.NotRun {
 		c.mayHaveRun = true
 	}
 	if c.x.ctx.Err() != nil || c.mayHaveRun && c.x.route.Kind != catalog.Idempotent {
-		return c.x.broken(c.mayHaveRun, c.last)
+		return c.x.failureResponse(c.mayHaveRun, c.lastErr)
 	}
 	return nil
 }
 
-// abandon ends the tries that still run.
-func (c *contest) abandon() {
+// cancelRemaining cancels the attempts that are still running.
+func (c *hedgedRequest) cancelRemaining() {
 	for _, cancel := range c.cancels {
 		cancel()
 	}
@@ -121,7 +121,7 @@
 	if c.x.r.Context().Err() != nil {
 		overtaken = balance.Abandoned
 	}
-	running, ended := c.running, c.ended
+	running, ended := c.running, c.results
 	if running == 0 {
 		return
 	}
@@ -136,11 +136,11 @@
 	}()
 }
 
-// fetch sends the request to one server and reads its answer, or the first bufferBytes of it. replace tells
-// that another server could still be asked: then a failed answer to an idempotent request is a failure.
-func (x *exchange) fetch(ctx context.Context, choice *balance.Choice, replace bool) *try {
-	t := &try{choice: choice, began: time.Now()}
-	answer, failure := x.try(ctx, choice, [][]byte{x.body}, x.info.LastEvent)
+// fetch sends the request to one server and buffers up to maxBufferedBytes of its response. If replace is set, another
+// server may still be asked, and an error status for an idempotent request is a failure.
+func (x *exchange) fetch(ctx context.Context, choice *balance.Choice, replace bool) *attemptResult {
+	t := &attemptResult{choice: choice, began: time.Now()}
+	answer, failure := x.sendTo(ctx, choice, [][]byte{x.body}, x.requestInfo.LastEvent)
 	if failure != nil {
 		t.failure = failure
 		return t
@@ -150,40 +150,40 @@
 		t.failure = upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(answer.Status), Error.New("status %d", answer.Status))
 		return t
 	}
-	head, err := io.ReadAll(io.LimitReader(answer.Body, bufferBytes))
+	head, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes))
 	if err != nil {
 		answer.Close()
-		t.failure = upstream.NewFailure(verdict.MayHaveRun, reasonOf(ctx, upstream.ReasonMalformed), err)
+		t.failure = upstream.NewFailure(verdict.MayHaveRun, failureReason(ctx, upstream.ReasonMalformed), err)
 		return t
 	}
-	t.answer, t.head, t.more = answer, head, len(head) == bufferBytes
+	t.answer, t.buffered, t.truncated = answer, head, len(head) == maxBufferedBytes
 	return t
 }
 
-// pass passes a server's answer on.
-func (x *exchange) pass(t *try) *refusal {
+// forwardResponse sends a server's response to the caller.
+func (x *exchange) forwardResponse(t *attemptResult) *refusal {
 	defer t.answer.Close()
-	x.begin(t.answer, len(t.head), t.more)
-	_, err := x.w.Write(t.head)
-	if err == nil && t.more {
+	x.writeResponseHead(t.answer, len(t.buffered), t.truncated)
+	_, err := x.w.Write(t.buffered)
+	if err == nil && t.truncated {
 		_, err = io.Copy(x.w, t.answer.Body)
 	}
 	if err != nil {
 		failure := upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonRead, err)
-		x.noteFailure(t.choice, t.began, failure)
-		return x.broken(true, failure)
+		x.recordFailure(t.choice, t.began, failure)
+		return x.failureResponse(true, failure)
 	}
 	told := balance.Answered
 	if t.answer.Status >= 500 {
 		told = balance.Failed
 	}
-	x.note(t.choice, t.began, strconv.Itoa(t.answer.Status), told)
+	x.recordAttempt(t.choice, t.began, strconv.Itoa(t.answer.Status), told)
 	return nil
 }
 
-// broken returns the refusal of a request that got no answer. Only a request that provably did not run gets
-// one that says so.
-func (x *exchange) broken(mayHaveRun bool, err error) *refusal {
+// failureResponse returns the refusal for a request without a response. Its status says that the request did not run
+// only if that is certain.
+func (x *exchange) failureResponse(mayHaveRun bool, err error) *refusal {
 	switch {
 	case x.r.Context().Err() != nil:
 		return &refusal{status: http.StatusBadGateway, reason: "caller-left", err: err}
@@ -196,13 +196,14 @@
 	}
 }
 
-// jitter spreads a pause over plus or minus a third, so that callers do not come back together.
+// jitter varies a duration by up to a third, so that callers do not retry in sync.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.67 + 0.66*rand.Float64()))
 }
 
-// begin passes an answer's status and headers on. length is the body's, unless there is more than was read.
-func (x *exchange) begin(answer *upstream.Response, length int, more bool) {
+// writeResponseHead forwards a response's status and headers. length is that of the buffered body; more is set if the
+// body continues after it.
+func (x *exchange) writeResponseHead(answer *upstream.Response, length int, more bool) {
 	h := x.w.Header()
 	for name, values := range answer.Header {
 		switch name {
@@ -212,7 +213,7 @@
 		}
 	}
 	if _, named := h["Content-Type"]; !named {
-		h["Content-Type"] = nil // or net/http would guess one
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	switch {
 	case !more:
@@ -220,6 +221,6 @@
 	case answer.Length >= 0:
 		h["Content-Length"] = []string{strconv.FormatInt(answer.Length, 10)}
 	}
-	x.begun = true
-	x.writeHead(answer.Status)
+	x.headSent = true
+	x.writeStatus(answer.Status)
 }
--- a/internal/front/gateway/restart_test.go
+++ b/internal/front/gateway/restart_test.go
@@ -13,16 +13,16 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// restart says that the first server has started again, at its address and under its name.
-func (r *rig) restart(revision uint64, born string) {
+// restart makes the first server a new incarnation with the same address and name.
+func (r *fixture) restart(revision uint64, born string) {
 	address, _, _ := strings.Cut(string(r.objects[0].Value), " ")
 	r.objects[0] = objectapi.Object{Key: r.objects[0].Key, Version: revision, Value: []byte(address + " " + born)}
-	r.entries.Reset(r.objects, revision)
+	r.servers.Reset(r.objects, revision)
 }
 
-// TestRequestsAtAnEarlierStartEnd: a server that hangs has started again. What may run twice goes on elsewhere at once, and what
-// may not is told that it may have run; nothing waits for the earlier start until the caller's time is over.
-func TestRequestsAtAnEarlierStartEnd(t *testing.T) {
+// TestRequestsEndWhenServerRestarts checks requests at a hanging server that restarts. Requests that may run twice are
+// retried at once, others end as possibly run. None waits for the earlier incarnation until its deadline.
+func TestRequestsEndWhenServerRestarts(t *testing.T) {
 	begin := func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Id", r.Header.Get("Id"))
@@ -57,31 +57,31 @@
 				echo(w, r)
 			}
 			first := func(w http.ResponseWriter, r *http.Request) {
-				if runs.Load() > 1 { // the later start
+				if runs.Load() > 1 { // the later incarnation
 					answer(w, r)
 					return
 				}
 				if want.begins {
-					begin(w, r) // the caller has it before the server starts again
+					begin(w, r) // the caller receives the event before the restart
 				} else {
-					_, _ = io.Copy(io.Discard, r.Body) // else the end of the connection goes unnoticed
+					_, _ = io.Copy(io.Discard, r.Body) // needed to detect that the connection is closed
 					once.Do(func() { close(asked) })
 				}
 				<-r.Context().Done()
 			}
-			r := newRig(t, counted(&runs, first), counted(&runs, answer))
+			r := newFixture(t, countRequests(&runs, first), countRequests(&runs, answer))
 			r.restart(2, "100")
-			r.entries.Change(objectapi.Event{Object: objectapi.Object{Key: "s/1"}, Deleted: true})
-			r.entries.Reset(r.objects[:1], 3) // so that the request goes to the one that hangs
+			r.servers.Change(objectapi.Event{Object: objectapi.Object{Key: "s/1"}, Deleted: true})
+			r.servers.Reset(r.objects[:1], 3) // so that the hanging server is chosen
 			go func() {
 				<-asked
-				r.entries.Reset(r.objects, 4)
+				r.servers.Reset(r.objects, 4)
 				r.restart(5, "200")
 			}()
 			got := r.sendThen(path, "x", func() { once.Do(func() { close(asked) }) })
 			assert.Equal(t, got.status, want.status)
 			assert.Equal(t, got.broken, want.broken)
-			assert.Equal(t, <-r.ended, want.reason)
+			assert.Equal(t, <-r.outcomes, want.reason)
 			assert.Equal(t, runs.Load(), want.runs)
 		})
 	}
--- a/internal/front/gateway/stats.go
+++ b/internal/front/gateway/stats.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// Observer takes counts and times; the metrics page implements it.
+// Observer receives counts and durations; the metrics registry implements it.
 type Observer interface {
 	Count(name, label string)
 	Observe(name, label string, d time.Duration)
 }
 
-// Stats counts requests by outcome and attempts by outcome.
+// Stats counts requests and attempts by outcome.
 type Stats struct {
 	observer Observer
 }
 
-// NewStats returns counters that go to an observer.
+// NewStats returns Stats that report to an observer.
 func NewStats(observer Observer) *Stats { return &Stats{observer: observer} }
 
 func (s *Stats) request(outcome string, took time.Duration) {
@@ -28,8 +28,7 @@
 
 func (s *Stats) attempt(outcome string) { s.observer.Count("rookpass_attempts_total", outcome) }
 
-// organisation counts a request of an organisation, by the name under which it is counted and by outcome where the
-// organisation's key or limit decided it.
+// organisation counts a request under its organisation's metrics label, and separately if it was over the rate limit.
 func (s *Stats) organisation(label, outcome string) {
 	s.observer.Count("rookpass_organisation_requests_total", label)
 	if outcome == reasonOverLimit {
--- a/internal/front/gateway/steps.go
+++ b/internal/front/gateway/steps.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// step looks at a request and may refuse it.
+// step processes a request and may refuse it.
 type step func(*exchange) *refusal
 
-// Times after which a refused caller should come back.
+// Retry times of refusals.
 const (
-	// retryStarting is for a daemon that does not know its configuration yet.
+	// retryStarting is for daemons without a configuration.
 	retryStarting = 300 * time.Millisecond
-	// retryBusy is for servers that are all full: about one short request.
+	// retryBusy is for requests that found all servers busy: about the duration of a short request.
 	retryBusy = 100 * time.Millisecond
-	// retryMemory is for a daemon whose memory is full of bodies: about the time of one call.
-	retryMemory = 200 * time.Millisecond
-	// retryLedger is for turns that the disks could not settle: about a take-over's step.
+	// retryBodyMemory is for requests whose body exceeds the free memory for bodies: about the duration of a call.
+	retryBodyMemory = 200 * time.Millisecond
+	// retryLedger is for turns that the ledger could not process: about the time that a failover takes.
 	retryLedger = 200 * time.Millisecond
 )
 
-// withCallInfo decodes what the request says of itself.
-func withCallInfo(x *exchange) *refusal {
-	info, err := x.g.dialect.DecodeRequest(x.r.Header)
-	x.info = info
+// withRequestInfo decodes the request's headers.
+func withRequestInfo(x *exchange) *refusal {
+	info, err := x.g.headerCodec.DecodeRequest(x.r.Header)
+	x.requestInfo = info
 	if err != nil {
 		return &refusal{status: http.StatusBadRequest, reason: "malformed-header", err: err}
 	}
 	return nil
 }
 
-// withConfig refuses requests before the first configuration is known.
+// withConfig loads the configuration, and refuses requests before there is one.
 func withConfig(x *exchange) *refusal {
 	x.table, x.tableAge = x.g.catalog.TableWithAge()
 	if x.table == nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// withRoute finds the request's route, and refuses what that route can't take.
+// withRoute finds the request's route, and refuses requests that the route does not accept.
 func withRoute(x *exchange) *refusal {
 	host := x.r.Host
 	if name, _, err := net.SplitHostPort(host); err == nil {
@@ -54,45 +54,45 @@
 	if x.route == nil {
 		return &refusal{status: http.StatusNotFound, reason: "no-route"}
 	}
-	if (x.route.RetainTurns || x.info.HasBudget) && x.info.ID == "" {
-		return &refusal{status: http.StatusBadRequest, reason: "no-id", err: Error.New("a turn is recorded under its request's id")}
+	if (x.route.RetainTurns || x.requestInfo.HasBudget) && x.requestInfo.ID == "" {
+		return &refusal{status: http.StatusBadRequest, reason: "no-id", err: Error.New("a turn needs a request id")}
 	}
 	return nil
 }
 
-// withDeadline takes the earlier of the caller's deadline and the route's timeout.
+// withDeadline sets the earlier of the caller's deadline and the route's timeout.
 func withDeadline(x *exchange) *refusal {
 	limit := x.route.Timeout
-	if d := x.info.Timeout; d > 0 && (limit == 0 || d < limit) {
+	if d := x.requestInfo.Timeout; d > 0 && (limit == 0 || d < limit) {
 		limit = d
 	}
 	if limit > 0 {
-		x.until = x.arrived.Add(limit)
+		x.deadline = x.arrived.Add(limit)
 	}
 	return nil
 }
 
-// withBody reads the whole body: only then does the server tell when the caller leaves, and only then can a
-// request be sent a second time.
+// withBody reads the whole body. Until then net/http does not detect that the caller disconnects, and the request
+// could not be sent a second time.
 func withBody(x *exchange) *refusal {
 	limit := x.table.Config.Limits.MaxBodyBytes
 	if limit > 0 && x.r.ContentLength > limit {
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body-too-large"}
 	}
-	if !x.until.IsZero() {
-		_ = http.NewResponseController(x.w).SetReadDeadline(x.until) // without it a slow body is bounded by the caller
+	if !x.deadline.IsZero() {
+		_ = http.NewResponseController(x.w).SetReadDeadline(x.deadline) // on failure a slow body has no bound
 	}
 	reader := io.Reader(x.r.Body)
 	if x.r.ContentLength < 0 {
 		reader = &meteredReader{x}
-	} else if !x.reserve(x.r.ContentLength) {
+	} else if !x.reserveBody(x.r.ContentLength) {
 		return noMemory()
 	}
 	if limit > 0 {
 		reader = io.LimitReader(reader, limit+1)
 	}
 	body, err := readSized(reader, x.r.ContentLength)
-	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{}) // as above
+	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{}) // see above
 	if errors.Is(err, errNoMemory) {
 		return noMemory()
 	}
@@ -107,41 +107,41 @@
 		return &refusal{status: http.StatusRequestEntityTooLarge, reason: "body-too-large"}
 	}
 	x.body = body
-	x.header = x.g.dialect.ForwardedHeaders(x.r.Header)
+	x.header = x.g.headerCodec.ForwardedHeaders(x.r.Header)
 	return nil
 }
 
-// errNoMemory means that bodies of other requests take all the memory set aside for them.
-var errNoMemory = Error.New("no memory left for the body")
+// errNoMemory means that bodies of other requests use all the memory reserved for bodies.
+var errNoMemory = Error.New("memory for request bodies is exhausted")
 
 func noMemory() *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: "no-memory", retryAfter: jitter(retryMemory), err: errNoMemory}
+	return &refusal{status: http.StatusServiceUnavailable, reason: "no-memory", retryAfter: jitter(retryBodyMemory), err: errNoMemory}
 }
 
-// reserve takes memory for n bytes of the body, or returns false where none is left.
-func (x *exchange) reserve(n int64) bool {
-	if !x.g.bodies.TryAcquire(n) {
+// reserveBody reserves memory for n bytes of the body, or returns false if too little is left.
+func (x *exchange) reserveBody(n int64) bool {
+	if !x.g.bodyMemory.TryAcquire(n) {
 		return false
 	}
-	x.reserved += n
+	x.reservedBytes += n
 	return true
 }
 
-// release gives the memory of the body back.
-func (x *exchange) release() { x.g.bodies.Release(x.reserved) }
+// releaseBody releases the memory reserved for the body.
+func (x *exchange) releaseBody() { x.g.bodyMemory.Release(x.reservedBytes) }
 
-// meteredReader reads a body of unknown length and reserves memory as it comes.
+// meteredReader reads a body of unknown length and reserves memory for it as it arrives.
 type meteredReader struct{ x *exchange }
 
 func (m *meteredReader) Read(p []byte) (int, error) {
 	n, err := m.x.r.Body.Read(p)
-	if n > 0 && !m.x.reserve(int64(n)) {
+	if n > 0 && !m.x.reserveBody(int64(n)) {
 		return 0, errNoMemory
 	}
 	return n, err
 }
 
-// readSized reads a body whose length may be known.
+// readSized reads a body; length is its length if known, else not positive.
 func readSized(r io.Reader, length int64) ([]byte, error) {
 	if length <= 0 {
 		return io.ReadAll(r)
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -17,67 +17,67 @@
 	"github.com/rookpass/rookpass/internal/transport/upstream"
 )
 
-// serveStream answers a request by the events of a server as they come: a turn of a program, kept or not, or a
-// stream outside any program.
+// serveStream responds with the events of a server as they arrive. The request is a turn of a program or a stream
+// outside of any program.
 func (x *exchange) serveStream() *refusal {
-	if x.route.RetainTurns && x.info.LastEvent != "" {
+	if x.route.RetainTurns && x.requestInfo.LastEvent != "" {
 		return &refusal{status: http.StatusBadRequest, reason: "kept-turn-resumed",
-			err: Error.New("a kept turn needs its whole answer, so its caller can't go on in the middle")}
+			err: Error.New("a turn that is retained needs its whole response and can't be resumed by the caller")}
 	}
-	p, refused := x.prepare()
+	p, refused := x.prepareTurn()
 	if refused != nil {
 		return refused
 	}
 	s := x.newStream(p)
-	c := s.call(p)
-	if refused := x.enter(c); refused != nil {
-		x.void(p.reservation)
+	c := s.schedulerCall(p)
+	if refused := x.waitForSlot(c); refused != nil {
+		x.releaseReservation(p.reservation)
 		return refused
 	}
-	defer x.g.gate.Release(c)
-	if refused := x.stillProved(); refused != nil {
-		x.void(p.reservation)
+	defer x.g.scheduler.Release(c)
+	if refused := x.recheckKey(); refused != nil {
+		x.releaseReservation(p.reservation)
 		return refused
 	}
 	if refused := s.run(); refused != nil {
-		if !s.mayHaveRun && !x.begun {
-			x.void(p.reservation)
+		if !s.mayHaveRun && !x.headSent {
+			x.releaseReservation(p.reservation)
 		}
 		return refused
 	}
-	if !s.whole {
-		return nil // a server's own failure was passed on; it may have generated tokens
+	if !s.complete {
+		return nil // a server's error was forwarded; it may have generated tokens
 	}
-	x.g.gate.ObserveCompletion(c)
-	return x.end(p, s.try.choice.Server, s.events)
+	x.g.scheduler.ObserveCompletion(c)
+	return x.recordTurn(p, s.attempt.choice.Server, s.events)
 }
 
-// relayed is what a stream carried to the caller.
-type relayed struct {
+// sentEvents are the events of a stream that were sent to the caller.
+type sentEvents struct {
 	count  int
 	output []byte
-	// last is the id of the last event.
-	last string
+	// lastID is the id of the last event.
+	lastID string
 }
 
-// stream sends a request to servers until one answers it with events, and passes those on. Where the route
-// allows it, another server goes on behind the last event when a server breaks off.
+// stream sends a request to servers until one responds, and forwards its events. On routes that allow it, another
+// server continues after the last event if a server fails.
 type stream struct {
-	x    *exchange
-	ask  balance.Request
-	body [][]byte
-	// sent counts the tries that may have reached a server.
-	sent       int
-	mayHaveRun bool
-	last       *upstream.Failure
-	try        *streamTry
-	events     relayed
-	// whole is set when the answer's last event has been passed on.
-	whole bool
+	x               *exchange
+	balancerRequest balance.Request
+	body            [][]byte
+	// attempts counts the attempts that may have reached a server.
+	attempts    int
+	mayHaveRun  bool
+	lastFailure *upstream.Failure
+	attempt     *streamAttempt
+	events      sentEvents
+	// complete is set when the response's last event has been forwarded.
+	complete bool
 }
 
-// streamTry is one try at one server.
-type streamTry struct {
+// streamAttempt is one attempt at one server.
+type streamAttempt struct {
 	choice *balance.Choice
 	began  time.Time
 	answer *upstream.Response
@@ -85,61 +85,61 @@
 	cancel context.CancelFunc
 }
 
-func (x *exchange) newStream(p prepared) *stream {
-	s := &stream{x: x, body: x.prompt(p.chain), events: relayed{last: x.info.LastEvent}}
-	s.ask = balance.Request{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, PromptTokens: max(1, x.info.PromptTokens), Parts: x.info.Parts,
-		Connected: x.connected, Lookup: x.known}
-	s.last = upstream.NewFailure(verdict.NotRun, "no-server", Error.New("no server of the route's service is known"))
+func (x *exchange) newStream(p turnContext) *stream {
+	s := &stream{x: x, body: x.promptBody(p.history), events: sentEvents{lastID: x.requestInfo.LastEvent}}
+	s.balancerRequest = balance.Request{Route: x.route.Name, Tried: map[incarnation.ID]bool{}, PromptTokens: max(1, x.requestInfo.PromptTokens), Parts: x.requestInfo.Parts,
+		Connected: x.hasIdleConnection, Lookup: x.lookupServer}
+	s.lastFailure = upstream.NewFailure(verdict.NotRun, "no-server", Error.New("no usable server for the route's service"))
 	return s
 }
 
-// run returns nil once an answer has been passed on to its end.
+// run returns nil once a response has been forwarded completely.
 func (s *stream) run() *refusal {
-	for s.open() {
-		done, refused := s.relay()
+	for s.connect() {
+		done, refused := s.forwardEvents()
 		if done || refused != nil {
 			return refused
 		}
-		s.x.g.log.WithFields(logrus.Fields{"event": "resume", "id": s.x.info.ID, "server": s.try.choice.Server.ID,
-			"events": s.events.count, "after": s.events.last, "error": s.last}).Info("stream broke off; asking another server")
+		s.x.g.log.WithFields(logrus.Fields{"event": "resume", "id": s.x.requestInfo.ID, "server": s.attempt.choice.Server.ID,
+			"events": s.events.count, "after": s.events.lastID, "error": s.lastFailure}).Info("stream interrupted; resuming on another server")
 	}
-	return s.x.broken(s.mayHaveRun, s.last)
+	return s.x.failureResponse(s.mayHaveRun, s.lastFailure)
 }
 
-// open sends the request until a server begins to answer, or returns false where no more may be tried.
-func (s *stream) open() bool {
-	for s.sent < s.x.route.MaxAttempts && s.x.ctx.Err() == nil {
-		s.x.look(&s.ask)
-		choice, found := s.x.g.balancer.Pick(&s.ask)
+// connect sends the request until a server responds, or returns false if no further attempt may be made.
+func (s *stream) connect() bool {
+	for s.attempts < s.x.route.MaxAttempts && s.x.ctx.Err() == nil {
+		s.x.refreshServers(&s.balancerRequest)
+		choice, found := s.x.g.balancer.Pick(&s.balancerRequest)
 		if !found {
 			return false
 		}
-		s.ask.Tried[choice.Server.ID] = true
-		s.sent++
+		s.balancerRequest.Tried[choice.Server.ID] = true
+		s.attempts++
 		ctx, cancel := context.WithCancelCause(s.x.ctx)
 		choice.CancelOnRestart(cancel)
-		t := &streamTry{choice: choice, began: time.Now(), ctx: ctx, cancel: func() { cancel(nil) }}
+		t := &streamAttempt{choice: choice, began: time.Now(), ctx: ctx, cancel: func() { cancel(nil) }}
 		var failure *upstream.Failure
-		t.answer, failure = s.x.try(ctx, choice, s.body, s.events.last)
+		t.answer, failure = s.x.sendTo(ctx, choice, s.body, s.events.lastID)
 		if failure == nil {
-			s.try = t
+			s.attempt = t
 			return true
 		}
 		t.cancel()
-		if !s.failed(t, failure) {
+		if !s.recordFailure(t, failure) {
 			return false
 		}
 	}
 	return false
 }
 
-// failed records a try that brought no whole answer, and reports whether another server may be asked.
-func (s *stream) failed(t *streamTry, failure *upstream.Failure) bool {
-	s.x.noteFailure(t.choice, t.began, failure)
-	s.last = failure
+// recordFailure records an attempt without a complete response, and reports whether another one may be made.
+func (s *stream) recordFailure(t *streamAttempt, failure *upstream.Failure) bool {
+	s.x.recordFailure(t.choice, t.began, failure)
+	s.lastFailure = failure
 	switch failure.Reason {
-	case upstream.ReasonDial, upstream.ReasonNoConns, reasonGone:
-		s.sent-- // no server got it
+	case upstream.ReasonDial, upstream.ReasonNoConns, reasonMisdirected:
+		s.attempts-- // no server received the request
 	}
 	if failure.Verdict == verdict.NotRun {
 		return true
@@ -148,78 +148,78 @@
 	return s.x.route.Repeatable()
 }
 
-// relay passes an answer on. It reports whether that was all; if not and nothing is refused, another server may
-// go on.
-func (s *stream) relay() (done bool, refused *refusal) {
-	defer s.try.cancel()
-	defer s.try.answer.Close()
-	if !isSuccess(s.try.answer.Status) {
-		return s.passFailure()
+// forwardEvents forwards a response. It reports whether the response is complete; if not and there is no refusal,
+// another server may continue.
+func (s *stream) forwardEvents() (done bool, refused *refusal) {
+	defer s.attempt.cancel()
+	defer s.attempt.answer.Close()
+	if !isSuccess(s.attempt.answer.Status) {
+		return s.forwardFailure()
 	}
-	if !s.x.begun {
-		s.x.begin(s.try.answer, 0, true)
+	if !s.x.headSent {
+		s.x.writeResponseHead(s.attempt.answer, 0, true)
 		s.x.w.Header().Del("Content-Length")
 	}
 	err := s.copyEvents()
 	if err == nil {
-		s.whole = true
-		s.try.choice.Generated = s.x.tokens(s.try.choice.Server, s.events)
-		s.x.note(s.try.choice, s.try.began, strconv.Itoa(s.try.answer.Status), balance.Answered)
+		s.complete = true
+		s.attempt.choice.Generated = s.x.countTokens(s.attempt.choice.Server, s.events)
+		s.x.recordAttempt(s.attempt.choice, s.attempt.began, strconv.Itoa(s.attempt.answer.Status), balance.Answered)
 		return true, nil
 	}
-	failure := upstream.NewFailure(verdict.MayHaveRun, reasonOf(s.try.ctx, upstream.ReasonRead), err)
+	failure := upstream.NewFailure(verdict.MayHaveRun, failureReason(s.attempt.ctx, upstream.ReasonRead), err)
 	if errors.Is(err, errCallerLeft) {
-		s.x.note(s.try.choice, s.try.began, "caller-left", balance.Abandoned)
-		return false, s.x.broken(true, err)
+		s.x.recordAttempt(s.attempt.choice, s.attempt.began, "caller-left", balance.Abandoned)
+		return false, s.x.failureResponse(true, err)
 	}
-	if !s.failed(s.try, failure) || s.x.ctx.Err() != nil {
-		return false, s.x.broken(true, failure)
+	if !s.recordFailure(s.attempt, failure) || s.x.ctx.Err() != nil {
+		return false, s.x.failureResponse(true, failure)
 	}
 	return false, nil
 }
 
-// passFailure passes a server's own failure on, unless another server may be asked in its place.
-func (s *stream) passFailure() (done bool, refused *refusal) {
-	answer := s.try.answer
-	replaceable := s.x.route.Repeatable() && answer.Status >= 500 && s.sent < s.x.route.MaxAttempts
-	if s.x.begun || replaceable {
+// forwardFailure forwards a server's error response, unless another server may be asked instead.
+func (s *stream) forwardFailure() (done bool, refused *refusal) {
+	answer := s.attempt.answer
+	replaceable := s.x.route.Repeatable() && answer.Status >= 500 && s.attempts < s.x.route.MaxAttempts
+	if s.x.headSent || replaceable {
 		failure := upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(answer.Status), Error.New("status %d", answer.Status))
-		s.failed(s.try, failure)
+		s.recordFailure(s.attempt, failure)
 		return false, nil
 	}
-	head, err := io.ReadAll(io.LimitReader(answer.Body, bufferBytes))
+	head, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes))
 	if err != nil {
 		failure := upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonMalformed, err)
-		s.x.noteFailure(s.try.choice, s.try.began, failure)
-		return false, s.x.broken(true, failure)
+		s.x.recordFailure(s.attempt.choice, s.attempt.began, failure)
+		return false, s.x.failureResponse(true, failure)
 	}
-	return true, s.x.pass(&try{choice: s.try.choice, began: s.try.began, answer: answer, head: head, more: len(head) == bufferBytes})
+	return true, s.x.forwardResponse(&attemptResult{choice: s.attempt.choice, began: s.attempt.began, answer: answer, buffered: head, truncated: len(head) == maxBufferedBytes})
 }
 
-// errCallerLeft means that the caller took no more of the answer.
-var errCallerLeft = Error.New("the caller takes no more")
+// errCallerLeft means that a write to the caller failed.
+var errCallerLeft = Error.New("caller disconnected")
 
-// errOutOfOrder means that a server did not go on where the one before it broke off.
-var errOutOfOrder = Error.New("an event whose id does not follow")
+// errOutOfOrder means that a server did not continue after the last event of the previous server.
+var errOutOfOrder = Error.New("event id out of order")
 
-// copyEvents copies events until the answer's end. Only whole events go out: another server can go on behind
-// the last of them.
+// copyEvents copies events until the end of the response. Events are sent only whole, so that another server can
+// continue after the last one.
 func (s *stream) copyEvents() error {
-	reader := newEventReader(s.try.answer.Body)
+	reader := newEventReader(s.attempt.answer.Body)
 	control := http.NewResponseController(s.x.w)
 	for {
-		event, err := reader.next()
+		event, err := reader.readEvent()
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		if len(event.raw) > 0 {
-			if !s.follows(&event) {
+			if !s.inOrder(&event) {
 				return errOutOfOrder
 			}
 			if _, writeErr := s.x.w.Write(event.raw); writeErr != nil {
 				return errCallerLeft
 			}
-			s.took(&event)
+			s.recordEvent(&event)
 		}
 		if err != nil {
 			return nil
@@ -230,24 +230,24 @@
 	}
 }
 
-// follows tells whether an event may stand behind those that went out. A server that is asked to go on in the
-// middle must not begin anew.
-func (s *stream) follows(e *event) bool {
-	if s.events.last == "" || e.id == "" {
+// inOrder reports whether an event may follow those already sent. A server that was asked to continue must not start
+// over.
+func (s *stream) inOrder(e *event) bool {
+	if s.events.lastID == "" || e.id == "" {
 		return true
 	}
-	last, lastErr := strconv.ParseInt(s.events.last, 10, 64)
+	last, lastErr := strconv.ParseInt(s.events.lastID, 10, 64)
 	next, nextErr := strconv.ParseInt(e.id, 10, 64)
 	if lastErr != nil || nextErr != nil {
-		return e.id != s.events.last
+		return e.id != s.events.lastID
 	}
 	return next > last
 }
 
-// took counts an event that has gone out, and keeps its data where the route keeps history.
-func (s *stream) took(e *event) {
+// recordEvent counts an event that was sent, and stores its data if the route retains turns.
+func (s *stream) recordEvent(e *event) {
 	if e.id != "" {
-		s.events.last = e.id
+		s.events.lastID = e.id
 	}
 	if !e.hasData {
 		return
@@ -259,7 +259,7 @@
 	}
 }
 
-// address returns what a server is told of the request.
-func (x *exchange) address(server, lastEvent string) call.ForwardInfo {
-	return call.ForwardInfo{Timeout: x.left(), Server: server, LastEvent: lastEvent, Organisation: x.organisationName()}
+// forwardInfo returns the headers that a server gets in addition to the caller's.
+func (x *exchange) forwardInfo(server, lastEvent string) call.ForwardInfo {
+	return call.ForwardInfo{Timeout: x.timeLeft(), Server: server, LastEvent: lastEvent, Organisation: x.organisationName()}
 }
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -14,49 +14,49 @@
 )
 
 const (
-	// ledgerShare of the time left is the most that reaching the disks may take before a turn is refused.
-	ledgerShare = 3
-	// maxLedgerWait bounds it where much time is left: the caller's next try may reach a daemon that can.
+	// ledgerTimeDivisor bounds the time to reach the ledger to the remaining time divided by it.
+	ledgerTimeDivisor = 3
+	// maxLedgerWait bounds the time to reach the ledger, as the caller's next request may reach a daemon that can.
 	maxLedgerWait = 1200 * time.Millisecond
-	// finishWait bounds how long the end of a whole answer waits for its record, beyond the request's own time.
-	finishWait = 2 * time.Second
-	// leastRetention is how long a program's tokens count after its last turn where its route names no time: a
-	// stopped program may come back, and the longest pauses of programs so far are of seconds.
-	leastRetention = time.Minute
+	// maxRecordWait bounds how long the end of a complete response waits for its record, beyond the deadline.
+	maxRecordWait = 2 * time.Second
+	// minRetention is how long a program's tokens count after its last turn if its route has a shorter retention: a
+	// stopped program may continue.
+	minRetention = time.Minute
 )
 
-// prepared is what the disks said of a turn before it runs.
-type prepared struct {
-	// reservation is the turn's claim on its program's budget; nil where no budget bounds it.
+// turnContext is what the ledger knows about a turn before it runs.
+type turnContext struct {
+	// reservation is the turn's reservation of its program's budget; nil if there is no budget.
 	reservation *turn.Record
-	// chain is the history that goes before the turn's input, the oldest first.
-	chain []*turn.Record
-	// begun is set where the disks know of other turns of the program.
-	begun bool
-	// aim is the time that the whole program was given; 0 where that was not said.
-	aim time.Duration
+	// history has the turns before this one, the oldest first.
+	history []*turn.Record
+	// programStarted is set if the ledger has other turns of the program.
+	programStarted bool
+	// timeBudget is the time allowed for the whole program; 0 if none was given.
+	timeBudget time.Duration
 }
 
-// program returns the key under which the turn's program is kept: a turn outside any program stands for itself.
-func (x *exchange) program() string {
-	if x.info.Program != "" {
-		return x.key(x.info.Program)
+// programKey returns the ledger key of the turn's program. A turn outside of any program has its own.
+func (x *exchange) programKey() string {
+	if x.requestInfo.Program != "" {
+		return x.scopedKey(x.requestInfo.Program)
 	}
-	return x.key(x.info.ID)
+	return x.scopedKey(x.requestInfo.ID)
 }
 
-// key returns the name under which a turn or program of the caller's organisation is kept.
-func (x *exchange) key(id string) string { return turn.Key(x.organisationName(), id) }
+// scopedKey returns the ledger key of a turn or program of the caller's organisation.
+func (x *exchange) scopedKey(id string) string { return turn.Key(x.organisationName(), id) }
 
-// prepare reserves the turn's tokens where a budget bounds them, and reads its history where the route keeps
-// it, both at once. A stream with neither asks no disk.
-func (x *exchange) prepare() (prepared, *refusal) {
-	if !x.info.HasBudget && !x.route.RetainTurns {
-		return prepared{}, nil
+// prepareTurn reserves the turn's tokens if it has a budget, and concurrently reads its history if the route retains
+// turns. A stream with neither does not use the ledger.
+func (x *exchange) prepareTurn() (turnContext, *refusal) {
+	if !x.requestInfo.HasBudget && !x.route.RetainTurns {
+		return turnContext{}, nil
 	}
 	limit := maxLedgerWait
-	if left := x.left(); left > 0 {
-		limit = min(limit, left/ledgerShare)
+	if left := x.timeLeft(); left > 0 {
+		limit = min(limit, left/ledgerTimeDivisor)
 	}
 	ctx, cancel := context.WithTimeout(x.ctx, limit)
 	defer cancel()
@@ -66,23 +66,23 @@
 	go func() {
 		defer close(read)
 		if x.route.RetainTurns {
-			chain, chainErr = x.g.ledger.Chain(ctx, x.program(), x.key(x.info.PreviousTurn))
+			chain, chainErr = x.g.ledger.Chain(ctx, x.programKey(), x.scopedKey(x.requestInfo.PreviousTurn))
 		}
 	}()
-	p := prepared{}
+	p := turnContext{}
 	var account ledger.ProgramUsage
 	var reserveErr error
-	if x.info.HasBudget {
-		p.reservation = x.record(turn.Reserved, x.info.MaxOutputTokens)
-		p.reservation.Aim = x.info.TimeBudget
-		account, reserveErr = x.g.ledger.Reserve(ctx, p.reservation, x.info.TokenBudget)
+	if x.requestInfo.HasBudget {
+		p.reservation = x.newRecord(turn.Reserved, x.requestInfo.MaxOutputTokens)
+		p.reservation.Aim = x.requestInfo.TimeBudget
+		account, reserveErr = x.g.ledger.Reserve(ctx, p.reservation, x.requestInfo.TokenBudget)
 	}
 	<-read
-	p.chain = chain
-	p.begun = len(chain) > 0 || account.Turns > 0
-	p.aim = max(account.TimeBudget, x.info.TimeBudget)
-	x.g.log.WithFields(logrus.Fields{"event": "turn", "id": x.info.ID, "program": x.info.Program, "previous": x.info.PreviousTurn,
-		"before": len(chain), "spent": account.Spent, "places": len(account.CachedPrompts), "reserve": x.info.MaxOutputTokens, "budget": x.info.TokenBudget,
+	p.history = chain
+	p.programStarted = len(chain) > 0 || account.Turns > 0
+	p.timeBudget = max(account.TimeBudget, x.requestInfo.TimeBudget)
+	x.g.log.WithFields(logrus.Fields{"event": "turn", "id": x.requestInfo.ID, "program": x.requestInfo.Program, "previous": x.requestInfo.PreviousTurn,
+		"before": len(chain), "spent": account.Spent, "places": len(account.CachedPrompts), "reserve": x.requestInfo.MaxOutputTokens, "budget": x.requestInfo.TokenBudget,
 		"ms": time.Since(x.arrived).Milliseconds()}).Info("turn prepared")
 	x.g.balancer.RecordCached(account.CachedPrompts...)
 	if n := len(chain); n > 0 {
@@ -90,15 +90,16 @@
 			x.g.balancer.RecordCached(place)
 		}
 	}
-	refused := refusalOf(chainErr, reserveErr)
+	refused := refusalForLedger(chainErr, reserveErr)
 	if refused != nil {
-		x.void(p.reservation)
+		x.releaseReservation(p.reservation)
 	}
 	return p, refused
 }
 
-// refusalOf returns what a turn is told whose history could not be read or whose tokens could not be reserved.
-func refusalOf(chainErr, reserveErr error) *refusal {
+// refusalForLedger returns the refusal for a turn whose history could not be read or whose tokens could not be
+// reserved, or nil.
+func refusalForLedger(chainErr, reserveErr error) *refusal {
 	switch {
 	case errors.Is(chainErr, ledger.ErrTurnNotFound):
 		return &refusal{status: http.StatusNotFound, reason: "no-such-turn", err: chainErr}
@@ -112,31 +113,32 @@
 	return nil
 }
 
-// record returns the turn's record in a state.
-func (x *exchange) record(state turn.State, tokens int64) *turn.Record {
-	return &turn.Record{State: state, ID: x.key(x.info.ID), Program: x.program(), Tokens: tokens,
-		Retention: max(x.route.Retention, leastRetention)}
+// newRecord returns the turn's record in a state.
+func (x *exchange) newRecord(state turn.State, tokens int64) *turn.Record {
+	return &turn.Record{State: state, ID: x.scopedKey(x.requestInfo.ID), Program: x.programKey(), Tokens: tokens,
+		Retention: max(x.route.Retention, minRetention)}
 }
 
-// void takes back the reservation of a turn that has not run and never will.
-func (x *exchange) void(reservation *turn.Record) {
+// releaseReservation cancels the reservation of a turn that has not run and never will.
+func (x *exchange) releaseReservation(reservation *turn.Record) {
 	if reservation != nil {
-		x.g.ledger.Settle(x.record(turn.Void, 0))
+		x.g.ledger.Settle(x.newRecord(turn.Void, 0))
 	}
 }
 
-// end records a turn that was answered whole. The caller may go on from a kept one as soon as it has the
-// answer's end, so that waits until the record is durable; a mere count of tokens does not keep it.
-func (x *exchange) end(p prepared, server catalog.Server, events relayed) *refusal {
-	tokens := x.tokens(server, events)
+// recordTurn records a completed turn. With retention it waits until the record is durable, because the caller may
+// continue from the turn as soon as it has the end of the response. Otherwise only tokens are counted, without
+// waiting.
+func (x *exchange) recordTurn(p turnContext, server catalog.Server, events sentEvents) *refusal {
+	tokens := x.countTokens(server, events)
 	state := turn.Settled
 	if x.route.RetainTurns {
 		state = turn.Finished
 	}
-	record := x.record(state, tokens)
+	record := x.newRecord(state, tokens)
 	record.Server = server.ID
-	if n := len(x.info.Parts); n > 0 {
-		last := x.info.Parts[n-1]
+	if n := len(x.requestInfo.Parts); n > 0 {
+		last := x.requestInfo.Parts[n-1]
 		record.Part, record.Held = last.ID, last.Tokens+tokens
 		x.g.balancer.RecordCached(turn.CachedPrompt{Server: server.ID, Part: record.Part, Held: record.Held})
 	}
@@ -147,8 +149,8 @@
 		return nil
 	}
 	record.Input, record.Output = x.body, events.output
-	x.link(record, p.chain)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), finishWait)
+	x.linkRecord(record, p.history)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), maxRecordWait)
 	defer cancel()
 	if err := x.g.ledger.Finish(ctx, record); err != nil {
 		return &refusal{status: http.StatusBadGateway, reason: "turn-not-kept", err: err}
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// tokens returns how many tokens the events of a server's answer stand for.
-func (x *exchange) tokens(server catalog.Server, events relayed) int64 {
+// countTokens returns the number of tokens in the events of a server's response.
+func (x *exchange) countTokens(server catalog.Server, events sentEvents) int64 {
 	tokens := int64(events.count)
 	if service := x.table.Service(server.Service); service != nil {
 		tokens *= int64(max(1, service.TokensPerEvent))
@@ -165,9 +167,9 @@
 	return tokens
 }
 
-// link puts a record behind the history that its turn went on from. Where that is another program's, the record
-// takes it in, so that a program's records never depend on another's.
-func (x *exchange) link(record *turn.Record, chain []*turn.Record) {
+// linkRecord links a record to the turn it continues from. If that belongs to another program, its history is copied
+// into the record, so that records of a program never depend on those of another.
+func (x *exchange) linkRecord(record *turn.Record, chain []*turn.Record) {
 	if len(chain) == 0 {
 		return
 	}
@@ -176,14 +178,14 @@
 		return
 	}
 	var input []byte
-	for _, part := range x.prompt(chain) {
+	for _, part := range x.promptBody(chain) {
 		input = append(input, part...)
 	}
 	record.Input = input
 }
 
-// prompt returns the body for a server: the history's inputs and outputs, then the new input.
-func (x *exchange) prompt(chain []*turn.Record) [][]byte {
+// promptBody returns the request body for a server: the inputs and outputs of the history, then the new input.
+func (x *exchange) promptBody(chain []*turn.Record) [][]byte {
 	body := make([][]byte, 0, 2*len(chain)+1)
 	for _, before := range chain {
 		body = append(body, before.Input, before.Output)
