--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -61,8 +61,8 @@
 		limit = service.MaxConns
 	}
 	x.possibleRuns.Add(1)
-	answer, failure := x.g.sender.Do(ctx, endpoint(&choice.Server), limit, request)
-	if failure != nil && failure.Verdict == verdict.NotRun || failure == nil && answer.Info.NotRun {
+	response, failure := x.g.sender.Do(ctx, endpoint(&choice.Server), limit, request)
+	if failure != nil && failure.Verdict == verdict.NotRun || failure == nil && response.Info.NotRun {
 		x.possibleRuns.Add(-1)
 	}
 	if failure != nil {
@@ -73,19 +73,19 @@
 	}
 	choice.HeadReceived()
 	switch {
-	case answer.Info.NotRun:
-		_, _ = io.Copy(io.Discard, answer.Body) // so that the connection can be reused
-		answer.Close()
+	case response.Info.NotRun:
+		_, _ = io.Copy(io.Discard, response.Body) // so that the connection can be reused
+		response.Close()
 		reason := reasonShed
-		if answer.Status == http.StatusMisdirectedRequest {
+		if response.Status == http.StatusMisdirectedRequest {
 			reason = reasonMisdirected
 		}
-		return nil, upstream.NewFailure(verdict.NotRun, reason, Error.New("status %d", answer.Status))
-	case isSuccess(answer.Status) && !answer.Info.Signed:
-		answer.Close()
-		return nil, upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonMalformed, Error.New("status %d without a signature", answer.Status))
+		return nil, upstream.NewFailure(verdict.NotRun, reason, Error.New("status %d", response.Status))
+	case isSuccess(response.Status) && !response.Info.Signed:
+		response.Close()
+		return nil, upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonMalformed, Error.New("status %d without a signature", response.Status))
 	}
-	return answer, nil
+	return response, nil
 }
 
 const (
@@ -115,8 +115,8 @@
 }
 
 // recordAttempt records an attempt and reports its outcome to the balancer.
-func (x *exchange) recordAttempt(choice *balance.Choice, began time.Time, outcome string, told balance.Outcome) {
-	choice.Done(told)
+func (x *exchange) recordAttempt(choice *balance.Choice, began time.Time, outcome string, result balance.Outcome) {
+	choice.Done(result)
 	x.attempts = append(x.attempts, attemptRecord{server: choice.Server.ID, outcome: outcome, took: time.Since(began),
 		inFlight: choice.InFlight, candidates: choice.Candidates, uncached: choice.Uncached})
 	x.g.stats.attempt(outcome)
@@ -124,14 +124,14 @@
 
 // recordFailure records a failed attempt.
 func (x *exchange) recordFailure(choice *balance.Choice, began time.Time, failure *upstream.Failure) {
-	told := balance.Failed
+	result := balance.Failed
 	switch {
 	case failure.Reason == reasonShed, failure.Reason == upstream.ReasonNoConns:
-		told = balance.Shed
+		result = balance.Shed
 	case x.r.Context().Err() != nil:
-		told = balance.Abandoned
+		result = balance.Abandoned
 	}
-	x.recordAttempt(choice, began, failure.Reason, told)
+	x.recordAttempt(choice, began, failure.Reason, result)
 	x.attempts[len(x.attempts)-1].reusedConnection = failure.Reused
 }
 
@@ -144,14 +144,14 @@
 
 // refreshServers sets the current servers of a balancer request, so that servers that started draining since the last
 // attempt get no further one.
-func (x *exchange) refreshServers(ask *balance.Request) {
+func (x *exchange) refreshServers(request *balance.Request) {
 	servers := x.g.catalog.Servers()
-	fleet := servers.Pool(x.serviceName)
+	pool := servers.Pool(x.serviceName)
 	if service := x.table.Service(x.serviceName); service != nil {
-		ask.ColdPerSecond = service.ColdPerSecond
+		request.ColdPerSecond = service.ColdPerSecond
 	}
-	ask.Servers, ask.Terms = fleet.Servers, servers.Constraints(time.Now(), x.allowedRegions(), ask.ColdPerSecond > 0)
-	ask.Slots, ask.DataCentres = fleet.Slots(&ask.Terms)
+	request.Servers, request.Terms = pool.Servers, servers.Constraints(time.Now(), x.allowedRegions(), request.ColdPerSecond > 0)
+	request.Slots, request.DataCentres = pool.Slots(&request.Terms)
 }
 
 // allowedRegions returns the regions that both the route and the organisation allow.
--- a/internal/front/gateway/gateway.go
+++ b/internal/front/gateway/gateway.go
@@ -203,24 +203,24 @@
 }
 
 // refuse responds with a refusal, or aborts the response if a part of it has been sent.
-func (x *exchange) refuse(f *refusal) {
-	status := f.status
+func (x *exchange) refuse(refused *refusal) {
+	status := refused.status
 	if x.headSent || x.r.Context().Err() != nil {
 		status = 0
 	}
-	x.recordOutcome(status, f.reason, f.err)
+	x.recordOutcome(status, refused.reason, refused.err)
 	if x.headSent {
 		panic(http.ErrAbortHandler)
 	}
 	h := x.w.Header()
 	x.g.headerCodec.SetRequestID(h, x.requestInfo.ID)
-	if f.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(f.retryAfter.Seconds(), 'f', 3, 64))
+	if refused.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(refused.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	text := f.reason + "\n"
+	text := refused.reason + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	x.writeStatus(f.status)
+	x.writeStatus(refused.status)
 	_, _ = x.w.Write([]byte(text)) // the caller may have disconnected
 }
 
--- a/internal/front/gateway/plain.go
+++ b/internal/front/gateway/plain.go
@@ -68,7 +68,7 @@
 type attemptResult struct {
 	choice    *balance.Choice
 	began     time.Time
-	answer    *upstream.Response
+	response  *upstream.Response
 	buffered  []byte
 	truncated bool
 	failure   *upstream.Failure
@@ -117,9 +117,9 @@
 	for _, cancel := range c.cancels {
 		cancel()
 	}
-	overtaken := balance.HedgeLost
+	result := balance.HedgeLost
 	if c.x.r.Context().Err() != nil {
-		overtaken = balance.Abandoned
+		result = balance.Abandoned
 	}
 	running, ended := c.running, c.results
 	if running == 0 {
@@ -128,10 +128,10 @@
 	go func() {
 		for range running {
 			t := <-ended
-			if t.answer != nil {
-				t.answer.Close()
+			if t.response != nil {
+				t.response.Close()
 			}
-			t.choice.Done(overtaken)
+			t.choice.Done(result)
 		}
 	}()
 }
@@ -140,44 +140,44 @@
 // server may still be asked, and an error status for an idempotent request is a failure.
 func (x *exchange) fetch(ctx context.Context, choice *balance.Choice, replace bool) *attemptResult {
 	t := &attemptResult{choice: choice, began: time.Now()}
-	answer, failure := x.sendTo(ctx, choice, [][]byte{x.body}, x.requestInfo.LastEvent)
+	response, failure := x.sendTo(ctx, choice, [][]byte{x.body}, x.requestInfo.LastEvent)
 	if failure != nil {
 		t.failure = failure
 		return t
 	}
-	if answer.Status >= 500 && replace && x.route.Kind == catalog.Idempotent {
-		answer.Close()
-		t.failure = upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(answer.Status), Error.New("status %d", answer.Status))
+	if response.Status >= 500 && replace && x.route.Kind == catalog.Idempotent {
+		response.Close()
+		t.failure = upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(response.Status), Error.New("status %d", response.Status))
 		return t
 	}
-	head, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes))
+	head, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
-		answer.Close()
+		response.Close()
 		t.failure = upstream.NewFailure(verdict.MayHaveRun, failureReason(ctx, upstream.ReasonMalformed), err)
 		return t
 	}
-	t.answer, t.buffered, t.truncated = answer, head, len(head) == maxBufferedBytes
+	t.response, t.buffered, t.truncated = response, head, len(head) == maxBufferedBytes
 	return t
 }
 
 // forwardResponse sends a server's response to the caller.
 func (x *exchange) forwardResponse(t *attemptResult) *refusal {
-	defer t.answer.Close()
-	x.writeResponseHead(t.answer, len(t.buffered), t.truncated)
+	defer t.response.Close()
+	x.writeResponseHead(t.response, len(t.buffered), t.truncated)
 	_, err := x.w.Write(t.buffered)
 	if err == nil && t.truncated {
-		_, err = io.Copy(x.w, t.answer.Body)
+		_, err = io.Copy(x.w, t.response.Body)
 	}
 	if err != nil {
 		failure := upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonRead, err)
 		x.recordFailure(t.choice, t.began, failure)
 		return x.failureResponse(true, failure)
 	}
-	told := balance.Answered
-	if t.answer.Status >= 500 {
-		told = balance.Failed
+	result := balance.Answered
+	if t.response.Status >= 500 {
+		result = balance.Failed
 	}
-	x.recordAttempt(t.choice, t.began, strconv.Itoa(t.answer.Status), told)
+	x.recordAttempt(t.choice, t.began, strconv.Itoa(t.response.Status), result)
 	return nil
 }
 
@@ -203,9 +203,9 @@
 
 // writeResponseHead forwards a response's status and headers. length is that of the buffered body; more is set if the
 // body continues after it.
-func (x *exchange) writeResponseHead(answer *upstream.Response, length int, more bool) {
+func (x *exchange) writeResponseHead(response *upstream.Response, length int, more bool) {
 	h := x.w.Header()
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		switch name {
 		case "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Trailer", "Te", "Upgrade", "Content-Length":
 		default:
@@ -218,9 +218,9 @@
 	switch {
 	case !more:
 		h["Content-Length"] = []string{strconv.Itoa(length)}
-	case answer.Length >= 0:
-		h["Content-Length"] = []string{strconv.FormatInt(answer.Length, 10)}
+	case response.Length >= 0:
+		h["Content-Length"] = []string{strconv.FormatInt(response.Length, 10)}
 	}
 	x.headSent = true
-	x.writeStatus(answer.Status)
+	x.writeStatus(response.Status)
 }
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -29,12 +29,12 @@
 		return refused
 	}
 	s := x.newStream(p)
-	c := s.schedulerCall(p)
-	if refused := x.waitForSlot(c); refused != nil {
+	admission := s.schedulerCall(p)
+	if refused := x.waitForSlot(admission); refused != nil {
 		x.releaseReservation(p.reservation)
 		return refused
 	}
-	defer x.g.scheduler.Release(c)
+	defer x.g.scheduler.Release(admission)
 	if refused := x.recheckKey(); refused != nil {
 		x.releaseReservation(p.reservation)
 		return refused
@@ -48,7 +48,7 @@
 	if !s.complete {
 		return nil // a server's error was forwarded; it may have generated tokens
 	}
-	x.g.scheduler.ObserveCompletion(c)
+	x.g.scheduler.ObserveCompletion(admission)
 	return x.recordTurn(p, s.attempt.choice.Server, s.events)
 }
 
@@ -78,11 +78,11 @@
 
 // streamAttempt is one attempt at one server.
 type streamAttempt struct {
-	choice *balance.Choice
-	began  time.Time
-	answer *upstream.Response
-	ctx    context.Context
-	cancel context.CancelFunc
+	choice   *balance.Choice
+	began    time.Time
+	response *upstream.Response
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
 func (x *exchange) newStream(p turnContext) *stream {
@@ -120,7 +120,7 @@
 		choice.CancelOnRestart(cancel)
 		t := &streamAttempt{choice: choice, began: time.Now(), ctx: ctx, cancel: func() { cancel(nil) }}
 		var failure *upstream.Failure
-		t.answer, failure = s.x.sendTo(ctx, choice, s.body, s.events.lastID)
+		t.response, failure = s.x.sendTo(ctx, choice, s.body, s.events.lastID)
 		if failure == nil {
 			s.attempt = t
 			return true
@@ -152,19 +152,19 @@
 // another server may continue.
 func (s *stream) forwardEvents() (done bool, refused *refusal) {
 	defer s.attempt.cancel()
-	defer s.attempt.answer.Close()
-	if !isSuccess(s.attempt.answer.Status) {
+	defer s.attempt.response.Close()
+	if !isSuccess(s.attempt.response.Status) {
 		return s.forwardFailure()
 	}
 	if !s.x.headSent {
-		s.x.writeResponseHead(s.attempt.answer, 0, true)
+		s.x.writeResponseHead(s.attempt.response, 0, true)
 		s.x.w.Header().Del("Content-Length")
 	}
 	err := s.copyEvents()
 	if err == nil {
 		s.complete = true
 		s.attempt.choice.Generated = s.x.countTokens(s.attempt.choice.Server, s.events)
-		s.x.recordAttempt(s.attempt.choice, s.attempt.began, strconv.Itoa(s.attempt.answer.Status), balance.Answered)
+		s.x.recordAttempt(s.attempt.choice, s.attempt.began, strconv.Itoa(s.attempt.response.Status), balance.Answered)
 		return true, nil
 	}
 	failure := upstream.NewFailure(verdict.MayHaveRun, failureReason(s.attempt.ctx, upstream.ReasonRead), err)
@@ -180,20 +180,20 @@
 
 // forwardFailure forwards a server's error response, unless another server may be asked instead.
 func (s *stream) forwardFailure() (done bool, refused *refusal) {
-	answer := s.attempt.answer
-	replaceable := s.x.route.Repeatable() && answer.Status >= 500 && s.attempts < s.x.route.MaxAttempts
+	response := s.attempt.response
+	replaceable := s.x.route.Repeatable() && response.Status >= 500 && s.attempts < s.x.route.MaxAttempts
 	if s.x.headSent || replaceable {
-		failure := upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(answer.Status), Error.New("status %d", answer.Status))
+		failure := upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(response.Status), Error.New("status %d", response.Status))
 		s.recordFailure(s.attempt, failure)
 		return false, nil
 	}
-	head, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes))
+	head, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
 		failure := upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonMalformed, err)
 		s.x.recordFailure(s.attempt.choice, s.attempt.began, failure)
 		return false, s.x.failureResponse(true, failure)
 	}
-	return true, s.x.forwardResponse(&attemptResult{choice: s.attempt.choice, began: s.attempt.began, answer: answer, buffered: head, truncated: len(head) == maxBufferedBytes})
+	return true, s.x.forwardResponse(&attemptResult{choice: s.attempt.choice, began: s.attempt.began, response: response, buffered: head, truncated: len(head) == maxBufferedBytes})
 }
 
 // errCallerLeft means that a write to the caller failed.
@@ -205,7 +205,7 @@
 // copyEvents copies events until the end of the response. Events are sent only whole, so that another server can
 // continue after the last one.
 func (s *stream) copyEvents() error {
-	reader := newEventReader(s.attempt.answer.Body)
+	reader := newEventReader(s.attempt.response.Body)
 	control := http.NewResponseController(s.x.w)
 	for {
 		event, err := reader.readEvent()
--- a/internal/front/gateway/stream_test.go
+++ b/internal/front/gateway/stream_test.go
@@ -96,13 +96,13 @@
 		{"a kept turn", "/turn/x", serveThenBreak, serveEvents, false, events(1, 3), []string{""}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var told lastEventLog
-			h := told.wrap(firstThen(c.one, c.others))
+			var log lastEventLog
+			h := log.wrap(firstThen(c.one, c.others))
 			r := newFixture(t, h, h)
 			got := r.send(c.path, "hello", "Program", "p", "Budget", "1000")
 			assert.Equal(t, got.broken, !c.whole)
 			assert.Equal(t, got.body, c.body)
-			assert.DeepEqual(t, told.ids, c.told)
+			assert.DeepEqual(t, log.ids, c.told)
 			assert.Equal(t, len(r.ledger.settled) == 1, c.whole, "only a complete turn must count its tokens")
 			assert.Equal(t, len(r.ledger.released), 0)
 		})
--- a/internal/front/gateway/turn.go
+++ b/internal/front/gateway/turn.go
@@ -70,24 +70,24 @@
 		}
 	}()
 	p := turnContext{}
-	var account ledger.ProgramUsage
+	var usage ledger.ProgramUsage
 	var reserveErr error
 	if x.requestInfo.HasBudget {
 		p.reservation = x.newRecord(turn.Reserved, x.requestInfo.MaxOutputTokens)
 		p.reservation.Aim = x.requestInfo.TimeBudget
-		account, reserveErr = x.g.ledger.Reserve(ctx, p.reservation, x.requestInfo.TokenBudget)
+		usage, reserveErr = x.g.ledger.Reserve(ctx, p.reservation, x.requestInfo.TokenBudget)
 	}
 	<-read
 	p.history = chain
-	p.programStarted = len(chain) > 0 || account.Turns > 0
-	p.timeBudget = max(account.TimeBudget, x.requestInfo.TimeBudget)
+	p.programStarted = len(chain) > 0 || usage.Turns > 0
+	p.timeBudget = max(usage.TimeBudget, x.requestInfo.TimeBudget)
 	x.g.log.WithFields(logrus.Fields{"event": "turn", "id": x.requestInfo.ID, "program": x.requestInfo.Program, "previous": x.requestInfo.PreviousTurn,
-		"before": len(chain), "spent": account.Spent, "places": len(account.CachedPrompts), "reserve": x.requestInfo.MaxOutputTokens, "budget": x.requestInfo.TokenBudget,
+		"before": len(chain), "spent": usage.Spent, "places": len(usage.CachedPrompts), "reserve": x.requestInfo.MaxOutputTokens, "budget": x.requestInfo.TokenBudget,
 		"ms": time.Since(x.arrived).Milliseconds()}).Info("turn prepared")
-	x.g.balancer.RecordCached(account.CachedPrompts...)
+	x.g.balancer.RecordCached(usage.CachedPrompts...)
 	if n := len(chain); n > 0 {
-		if place, known := chain[n-1].CachedPrompt(); known {
-			x.g.balancer.RecordCached(place)
+		if cached, known := chain[n-1].CachedPrompt(); known {
+			x.g.balancer.RecordCached(cached)
 		}
 	}
 	refused := refusalForLedger(chainErr, reserveErr)
