--- a/internal/front/gateway/attempt.go
+++ b/internal/front/gateway/attempt.go
@@ -80,10 +80,10 @@
 		if response.Status == http.StatusMisdirectedRequest {
 			reason = reasonMisdirected
 		}
-		return nil, upstream.NewFailure(verdict.NotRun, reason, Error.New("status %d", response.Status))
+		return nil, upstream.NewFailure(verdict.NotRun, reason, Error.New("server responded with status %d", response.Status))
 	case isSuccess(response.Status) && !response.Info.Signed:
 		response.Close()
-		return nil, upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonMalformed, Error.New("status %d without a signature", response.Status))
+		return nil, upstream.NewFailure(verdict.MayHaveRun, upstream.ReasonMalformed, Error.New("response with status %d is not signed", response.Status))
 	}
 	return response, nil
 }
--- a/internal/front/gateway/events.go
+++ b/internal/front/gateway/events.go
@@ -41,7 +41,7 @@
 				return ev, err
 			}
 			if len(ev.raw) > maxEventBytes {
-				return ev, Error.New("event of more than %d bytes", maxEventBytes)
+				return ev, Error.New("event exceeds %d bytes", maxEventBytes)
 			}
 		}
 		line := bytes.TrimRight(ev.raw[start:], "\r\n")
--- a/internal/front/gateway/organisation.go
+++ b/internal/front/gateway/organisation.go
@@ -96,7 +96,7 @@
 	x.g.log.WithFields(fields).Info("organisation reached its rate limit")
 }
 
-// startsProgram reports whether the request is the first turn of a program, as far as its headers tell.
+// startsProgram reports whether the request is the first turn of a program, according to its headers.
 func (x *exchange) startsProgram() bool {
 	return x.requestInfo.Program != "" && x.route.RetainTurns && x.requestInfo.PreviousTurn == ""
 }
--- a/internal/front/gateway/plain.go
+++ b/internal/front/gateway/plain.go
@@ -147,7 +147,7 @@
 	}
 	if response.Status >= 500 && replace && x.route.Kind == catalog.Idempotent {
 		response.Close()
-		t.failure = upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(response.Status), Error.New("status %d", response.Status))
+		t.failure = upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(response.Status), Error.New("server responded with status %d", response.Status))
 		return t
 	}
 	head, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
--- a/internal/front/gateway/stream.go
+++ b/internal/front/gateway/stream.go
@@ -183,7 +183,7 @@
 	response := s.attempt.response
 	replaceable := s.x.route.Repeatable() && response.Status >= 500 && s.attempts < s.x.route.MaxAttempts
 	if s.x.headSent || replaceable {
-		failure := upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(response.Status), Error.New("status %d", response.Status))
+		failure := upstream.NewFailure(verdict.MayHaveRun, "status-"+strconv.Itoa(response.Status), Error.New("server responded with status %d", response.Status))
 		s.recordFailure(s.attempt, failure)
 		return false, nil
 	}
