--- a/internal/front/catalog/view.go
+++ b/internal/front/catalog/view.go
@@ -84,7 +84,7 @@
 // Confirm implements watch.Handler.
 func (h *ConfigHandler) Confirm(uint64, time.Time) {}
 
-// Watermark implements watch.CertainHandler.
+// Watermark implements watch.WatermarkHandler.
 func (h *ConfigHandler) Watermark(at time.Time) {
 	last := h.catalog.confirmedAt.Load()
 	if h.newestMalformed || last != nil && !at.After(*last) {
