--- a/internal/front/catalog/constraints.go
+++ b/internal/front/catalog/constraints.go
@@ -96,8 +96,8 @@
 
 // Constraints returns the constraints of a request at one time. coldBounded is set if the request's service limits the
 // requests to cold servers.
-func (s *ServerSnapshot) Constraints(now time.Time, homes AllowedRegions, coldBounded bool) Constraints {
-	t := Constraints{Evacuated: s.evacuated, AllowedRegions: homes, Regions: s.regions, Now: now}
+func (s *ServerSnapshot) Constraints(now time.Time, allowedRegions AllowedRegions, coldBounded bool) Constraints {
+	t := Constraints{Evacuated: s.evacuated, AllowedRegions: allowedRegions, Regions: s.regions, Now: now}
 	if coldBounded {
 		t.ColdUntil = s.coldUntil
 	}
