--- a/internal/turns/replica/messages.go
+++ b/internal/turns/replica/messages.go
@@ -72,8 +72,8 @@
 	ID     string
 }
 
-// FetchReply holds the turns from the requested one backwards. Missing is the ID of the first that the disk does not
-// hold; empty where the start of the chain was reached.
+// FetchReply holds the turn FetchArgs.ID and those before it, newest first. Missing is the ID of the turn at which the
+// chain breaks off because the disk does not hold it as finished; empty if the chain is complete.
 type FetchReply struct {
 	Header  Header
 	Chain   []turn.Record
@@ -104,8 +104,8 @@
 	IDs    []string
 }
 
-// PullReply holds the records of the first of those turns, without those that the disk does not have. Next is the index
-// of the first ID that was not processed.
+// PullReply holds the records of the turns in PullArgs.IDs[:Next], without those that the disk does not have. The turns
+// in PullArgs.IDs[Next:] were not processed: they are left for another request.
 type PullReply struct {
 	Header  Header
 	Records []turn.Record
@@ -124,7 +124,8 @@
 	Turns  []TurnState
 }
 
-// LackedReply holds the indexes of those turns in LackedArgs.Turns.
+// LackedReply holds the indexes in LackedArgs.Turns of the turns that the disk does not hold in the given state or a
+// later one.
 type LackedReply struct {
 	Header Header
 	Lacked []int
