--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -128,65 +128,65 @@
 	return w
 }
 
-func (w *cluster) vms() []*vm { return append(append([]*vm(nil), w.stores...), w.fronts...) }
+func (c *cluster) vms() []*vm { return append(append([]*vm(nil), c.stores...), c.fronts...) }
 
 // serve answers at an address of a host until the test ends.
-func (w *cluster) serve(host, address string, handler http.Handler) {
-	w.serveWith(host, address, &http.Server{Handler: handler})
+func (c *cluster) serve(host, address string, handler http.Handler) {
+	c.serveWith(host, address, &http.Server{Handler: handler})
 }
 
-func (w *cluster) serveWith(host, address string, server *http.Server) {
-	listener, err := w.fabric.Listen(host, address)
-	assert.NilError(w.t, err)
+func (c *cluster) serveWith(host, address string, server *http.Server) {
+	listener, err := c.fabric.Listen(host, address)
+	assert.NilError(c.t, err)
 	go func() { _ = server.Serve(listener) }()
-	w.t.Cleanup(func() { _ = server.Close() })
+	c.t.Cleanup(func() { _ = server.Close() })
 }
 
 // publishConfig publishes the next version of the configuration and returns it.
-func (w *cluster) publishConfig() int64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.platform.SetConfig(workload.Config(w.version), w.organisations...)
-	return w.version
+func (c *cluster) publishConfig() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.version++
+	c.platform.SetConfig(workload.Config(c.version), c.organisations...)
+	return c.version
 }
 
-func (w *cluster) newestVersion() int64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.version
+func (c *cluster) newestVersion() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.version
 }
 
 // start starts a daemon on its VM's disk. first tells that the system starts for the first time.
-func (w *cluster) start(m *vm, first bool) {
+func (c *cluster) start(m *vm, first bool) {
 	m.starts++
 	m.host = fmt.Sprintf("%s/%d", m.name, m.starts)
 	settings := platform.Settings{
-		Node: m.name, IP: m.ip, DataCentre: m.dataCentre, FirstStart: first, Seeds: w.seeds[:3],
+		Node: m.name, IP: m.ip, DataCentre: m.dataCentre, FirstStart: first, Seeds: c.seeds[:3],
 		FirstPort: 7380, MemoryBytes: 16 << 30, MaxDescriptors: 4096, ToleratedDiskFailures: 1,
 		StoreAddress: storeAddress, StopGrace: 8 * time.Second, Heartbeat: 1200 * time.Millisecond,
-		MaxRevocationDelay: w.maxRevocationDelay, MaxConfigDelay: configDeadline, MaxEvacuationDelay: w.maxEvacuationDelay, Quota: quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
+		MaxRevocationDelay: c.maxRevocationDelay, MaxConfigDelay: configDeadline, MaxEvacuationDelay: c.maxEvacuationDelay, Quota: quota.Tolerance{Window: 5 * time.Second, Excess: 0.1, Slack: 20},
 	}
 	if m.role == "front" {
 		settings.CallerAddress, settings.ReadyAddress = m.callerAddress(), m.ip+":8141"
 	} else {
 		settings.ControlAddress = m.ip + ":8144"
-		settings.DataDir = filepath.Join(w.dir, fmt.Sprint(m.name, ".", m.diskGeneration))
+		settings.DataDir = filepath.Join(c.dir, fmt.Sprint(m.name, ".", m.diskGeneration))
 	}
 	name := m.host
 	b, err := newBase(host{
-		listen: func(address string) (net.Listener, error) { return w.fabric.Listen(name, address) },
+		listen: func(address string) (net.Listener, error) { return c.fabric.Listen(name, address) },
 		dial: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return w.fabric.Dial(ctx, name, address)
+			return c.fabric.Dial(ctx, name, address)
 		},
 		load:   func() (platform.Settings, error) { return settings, nil },
-		output: w.logOutput(),
+		output: c.logOutput(),
 	}, settings, "info", m.role)
-	assert.NilError(w.t, err)
+	assert.NilError(c.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	m.stop, m.done = cancel, done
-	w.ended.Go(func() {
+	c.ended.Go(func() {
 		defer close(done)
 		if m.role == "front" {
 			err = newFront(b).run(ctx)
@@ -216,9 +216,9 @@
 }
 
 // logOutput returns where daemons log: output if set, else standard error if ROOKPASS_TEST_LOG is set.
-func (w *cluster) logOutput() io.Writer {
-	if w.output != nil {
-		return w.output
+func (c *cluster) logOutput() io.Writer {
+	if c.output != nil {
+		return c.output
 	}
 	if os.Getenv("ROOKPASS_TEST_LOG") != "" {
 		return os.Stderr
@@ -227,8 +227,8 @@
 }
 
 // kill ends a daemon's process at once.
-func (w *cluster) kill(m *vm) {
-	w.fabric.Kill(m.host)
+func (c *cluster) kill(m *vm) {
+	c.fabric.Kill(m.host)
 	m.stop()
 	if m.role == "store" {
 		<-m.done // it must not write to the disk of its next start
@@ -236,23 +236,23 @@
 }
 
 // restart kills a daemon and starts it again after a time; lost tells that its disk comes back empty.
-func (w *cluster) restart(m *vm, after time.Duration, lost bool) {
-	w.kill(m)
+func (c *cluster) restart(m *vm, after time.Duration, lost bool) {
+	c.kill(m)
 	time.Sleep(after)
 	if lost {
 		m.diskGeneration++
 	}
-	w.start(m, false)
+	c.start(m, false)
 }
 
 // cut disconnects a daemon from some hosts for a time.
-func (w *cluster) cut(m *vm, hosts []string, d time.Duration) {
+func (c *cluster) cut(m *vm, hosts []string, d time.Duration) {
 	for _, h := range hosts {
-		w.fabric.Partition(m.host, h)
+		c.fabric.Partition(m.host, h)
 	}
 	time.Sleep(d)
 	for _, h := range hosts {
-		w.fabric.Heal(m.host, h)
+		c.fabric.Heal(m.host, h)
 	}
 }
 
@@ -275,15 +275,15 @@
 	return c
 }
 
-func (w *cluster) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	return w.fabric.Dial(ctx, "callers", address)
+func (c *cluster) dial(ctx context.Context, _, address string) (net.Conn, error) {
+	return c.fabric.Dial(ctx, "callers", address)
 }
 
 // awaitReady waits until every front reports that it is ready.
-func (w *cluster) awaitReady() {
-	transport := &http.Transport{DialContext: w.dial, DisableKeepAlives: true}
+func (c *cluster) awaitReady() {
+	transport := &http.Transport{DialContext: c.dial, DisableKeepAlives: true}
 	client := &http.Client{Transport: transport, Timeout: time.Second}
-	for _, m := range w.fronts {
+	for _, m := range c.fronts {
 		ready := func() bool {
 			resp, err := client.Get("http://" + m.ip + ":8141/readiness")
 			if err != nil {
@@ -294,16 +294,16 @@
 		}
 		for tries := 0; !ready(); tries++ {
 			if tries == 400 {
-				w.t.Fatal(m.name + " is not ready after " + strconv.Itoa(tries) + " requests")
+				c.t.Fatal(m.name + " is not ready after " + strconv.Itoa(tries) + " requests")
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 }
 
-func (w *cluster) close() {
-	for _, m := range w.vms() {
-		w.kill(m)
+func (c *cluster) close() {
+	for _, m := range c.vms() {
+		c.kill(m)
 	}
-	w.ended.Wait()
+	c.ended.Wait()
 }
--- a/internal/node/evacuations_test.go
+++ b/internal/node/evacuations_test.go
@@ -65,9 +65,9 @@
 }
 
 // serversIn returns the names of the servers in a data centre.
-func (w *cluster) serversIn(dataCentre string) []string {
+func (c *cluster) serversIn(dataCentre string) []string {
 	var names []string
-	for _, s := range w.servers {
+	for _, s := range c.servers {
 		if entry := s.Entry(); entry.DataCentre == dataCentre {
 			names = append(names, entry.ID.Server)
 		}
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -118,44 +118,44 @@
 const restartNoticeDelay = 300 * time.Millisecond
 
 // restartServers restarts one server of each service under its old name, without notice.
-func (w *cluster) restartServers() {
-	for _, s := range w.servers[:2] {
+func (c *cluster) restartServers() {
+	for _, s := range c.servers[:2] {
 		s.Restart()
 	}
 	time.Sleep(restartNoticeDelay)
-	for _, s := range w.servers[:2] {
-		w.platform.SetServer(s.Entry())
+	for _, s := range c.servers[:2] {
+		c.platform.SetServer(s.Entry())
 	}
 	time.Sleep(faultDuration - restartNoticeDelay)
 }
 
 // overwriteEntries replaces the entries of one server of each service by invalid ones, and later restores them.
-func (w *cluster) overwriteEntries() {
+func (c *cluster) overwriteEntries() {
 	var overwritten []string
-	for i, s := range w.servers[:2] {
+	for i, s := range c.servers[:2] {
 		entry := s.Entry()
-		w.platform.Set("servers", entry.ID.Server, platformtest.InvalidEntries(entry)[i])
-		w.checker.RecordDraining(entry.ID.Server)
+		c.platform.Set("servers", entry.ID.Server, platformtest.InvalidEntries(entry)[i])
+		c.checker.RecordDraining(entry.ID.Server)
 		overwritten = append(overwritten, entry.ID.Server)
 	}
 	time.Sleep(faultDuration + time.Second) // a second longer than requests may still arrive
-	for i, s := range w.servers[:2] {
+	for i, s := range c.servers[:2] {
 		entry := s.Entry()
 		if entry.ID.Server == overwritten[i] && !entry.Draining {
-			w.checker.RecordReturned(overwritten[i])
+			c.checker.RecordReturned(overwritten[i])
 		}
-		w.platform.SetServer(entry)
+		c.platform.SetServer(entry)
 	}
 }
 
 // restartAll kills daemons together and starts them again.
-func (w *cluster) restartAll(vms []*vm) {
+func (c *cluster) restartAll(vms []*vm) {
 	for _, m := range vms {
-		w.kill(m)
+		c.kill(m)
 	}
 	time.Sleep(faultDuration / 2)
 	for _, m := range vms {
-		w.start(m, false)
+		c.start(m, false)
 	}
 }
 
@@ -237,20 +237,20 @@
 }
 
 // replaceServers drains one server after the other and brings it back under another name, while callers send calls.
-func (w *cluster) replaceServers(f fault, stop <-chan struct{}) {
+func (c *cluster) replaceServers(f fault, stop <-chan struct{}) {
 	if f.delaysUpdates {
-		w.checker.AllowLateArrivals(time.Now().Add(time.Hour))
+		c.checker.AllowLateArrivals(time.Now().Add(time.Hour))
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { w.runCallers(workload.IdempotentCalls, stop) })
+	wg.Go(func() { c.runCallers(workload.IdempotentCalls, stop) })
 	for i := 0; ; i++ {
-		s := w.servers[i%len(w.servers)]
+		s := c.servers[i%len(c.servers)]
 		wg.Go(func() {
 			old := s.Drain()
-			w.platform.SetServer(old)
+			c.platform.SetServer(old)
 			time.Sleep(2500 * time.Millisecond)
-			w.platform.RemoveServer(old.ID.Server)
-			w.platform.SetServer(s.Replace())
+			c.platform.RemoveServer(old.ID.Server)
+			c.platform.SetServer(s.Replace())
 		})
 		select {
 		case <-stop:
--- a/internal/node/organisation_test.go
+++ b/internal/node/organisation_test.go
@@ -41,38 +41,38 @@
 	"history forgotten behind a short dark": func(w *cluster) { w.storeOutageDuring(outages["resets"], w.platform.Compact) },
 }
 
-func (w *cluster) storeOutage(fault func(http.ResponseWriter)) { w.storeOutageDuring(fault, func() {}) }
+func (c *cluster) storeOutage(fault func(http.ResponseWriter)) { c.storeOutageDuring(fault, func() {}) }
 
 // storeOutageDuring makes the store unavailable to all daemons, but not to operators, and calls meanwhile during it.
-func (w *cluster) storeOutageDuring(fault func(http.ResponseWriter), meanwhile func()) {
-	w.platform.SetFault(fault, false)
+func (c *cluster) storeOutageDuring(fault func(http.ResponseWriter), meanwhile func()) {
+	c.platform.SetFault(fault, false)
 	began := time.Now()
 	time.Sleep(time.Second)
 	meanwhile()
 	time.Sleep(time.Until(began.Add(outageDuration)))
-	w.platform.SetFault(nil, false)
+	c.platform.SetFault(nil, false)
 }
 
-func (w *cluster) cutStores() {
+func (c *cluster) cutStores() {
 	var cuts sync.WaitGroup
-	for _, m := range w.stores {
-		cuts.Go(func() { w.cut(m, []string{storeHost}, outageDuration) })
+	for _, m := range c.stores {
+		cuts.Go(func() { c.cut(m, []string{storeHost}, outageDuration) })
 	}
 	cuts.Wait()
 }
 
-func (w *cluster) freeze(m *vm, d time.Duration) {
-	w.checker.AllowLateArrivals(time.Now().Add(d + time.Second))
-	w.fabric.Freeze(m.host)
+func (c *cluster) freeze(m *vm, d time.Duration) {
+	c.checker.AllowLateArrivals(time.Now().Add(d + time.Second))
+	c.fabric.Freeze(m.host)
 	time.Sleep(d)
-	w.fabric.Thaw(m.host)
+	c.fabric.Thaw(m.host)
 	time.Sleep(outageDuration - d)
 }
 
 // sendToAllFronts keeps sending requests of an organisation to every front until stop is closed.
-func (w *cluster) sendToAllFronts(organisation string, pause time.Duration, stop <-chan struct{}, work *sync.WaitGroup) {
-	for i, m := range w.fronts {
-		caller := w.caller(uint64(i)).ForOrganisation(organisation)
+func (c *cluster) sendToAllFronts(organisation string, pause time.Duration, stop <-chan struct{}, work *sync.WaitGroup) {
+	for i, m := range c.fronts {
+		caller := c.caller(uint64(i)).ForOrganisation(organisation)
 		work.Go(func() {
 			for {
 				select {
@@ -87,14 +87,14 @@
 }
 
 // revokeKeys removes an organisation with its keys from the configuration.
-func (w *cluster) revokeKeys(name string) {
-	for i, o := range w.organisations {
+func (c *cluster) revokeKeys(name string) {
+	for i, o := range c.organisations {
 		if o.Name == name {
-			w.organisations = append(append([]platformtest.Organisation(nil), w.organisations[:i]...), w.organisations[i+1:]...)
+			c.organisations = append(append([]platformtest.Organisation(nil), c.organisations[:i]...), c.organisations[i+1:]...)
 		}
 	}
-	w.publishConfig()
-	w.checker.RecordRevocation(name, time.Now().Add(revocationLimit))
+	c.publishConfig()
+	c.checker.RecordRevocation(name, time.Now().Add(revocationLimit))
 }
 
 // TestRevokedKeyIsRefusedWithinLimit checks that every front refuses a revoked key in time, whichever daemons are cut
@@ -227,9 +227,9 @@
 }
 
 // killInTurn restarts daemons one after the other.
-func (w *cluster) killInTurn(vms []*vm) {
+func (c *cluster) killInTurn(vms []*vm) {
 	for _, m := range vms {
-		w.restart(m, 300*time.Millisecond, false)
+		c.restart(m, 300*time.Millisecond, false)
 		time.Sleep(time.Second)
 	}
 }
--- a/internal/node/outage_test.go
+++ b/internal/node/outage_test.go
@@ -70,31 +70,31 @@
 }
 
 // outage makes the store unavailable for a time, and disrupts daemons after a third of it.
-func (w *cluster) outage(fault func(http.ResponseWriter), disrupt func(*cluster), length time.Duration) {
+func (c *cluster) outage(fault func(http.ResponseWriter), disrupt func(*cluster), length time.Duration) {
 	began := time.Now()
-	w.platform.SetFault(fault, false)
+	c.platform.SetFault(fault, false)
 	time.Sleep(length / 3)
-	disrupt(w)
+	disrupt(c)
 	time.Sleep(time.Until(began.Add(length)))
-	w.platform.SetFault(nil, false)
+	c.platform.SetFault(nil, false)
 }
 
 // checkUpdates makes a change of each kind at the store's return, and checks that each is in force in time.
-func (w *cluster) checkUpdates() {
+func (c *cluster) checkUpdates() {
 	returned := time.Now()
-	version := w.publishConfig()
-	w.platform.SetServer(w.servers[1].Drain()) // the checker reports requests that still reach it too late
-	retiring := w.stores[1]
-	w.platform.Set("retirements", retiring.name, map[string]float64{"duration_s": 8})
+	version := c.publishConfig()
+	c.platform.SetServer(c.servers[1].Drain()) // the checker reports requests that still reach it too late
+	retiring := c.stores[1]
+	c.platform.Set("retirements", retiring.name, map[string]float64{"duration_s": 8})
 	time.Sleep(time.Until(returned.Add(updateDeadline)))
-	caller := w.caller(99)
-	for _, front := range w.fronts {
+	caller := c.caller(99)
+	for _, front := range c.fronts {
 		if !caller.HasConfigVersion(front.callerAddress(), front.host, version) {
-			w.checker.AddViolation("%s does not serve version %d %v after the store's return", front.host, version, updateDeadline)
+			c.checker.AddViolation("%s does not serve version %d %v after the store's return", front.host, version, updateDeadline)
 		}
 	}
-	if status := w.platform.Status("retirements", retiring.name); status == "" {
-		w.checker.AddViolation("%s has not reported its retirement %v after the store's return", retiring.host, updateDeadline)
+	if status := c.platform.Status("retirements", retiring.name); status == "" {
+		c.checker.AddViolation("%s has not reported its retirement %v after the store's return", retiring.host, updateDeadline)
 	}
 	time.Sleep(3 * time.Second) // requests to the drained server would arrive now
 }
@@ -142,14 +142,14 @@
 }
 
 // renewAllButOne restores the entries of all servers but the last, and lets the checker watch that one.
-func (w *cluster) renewAllButOne() {
+func (c *cluster) renewAllButOne() {
 	returned := time.Now()
-	expired := len(w.servers) - 1
+	expired := len(c.servers) - 1
 	time.Sleep(removalTime - updateDeadline)
-	w.checker.RecordDraining(w.servers[expired].Entry().ID.Server) // requests to it are violations from updateDeadline later on
+	c.checker.RecordDraining(c.servers[expired].Entry().ID.Server) // requests to it are violations from updateDeadline later on
 	time.Sleep(time.Until(returned.Add(renewalTime)))
-	for _, s := range w.servers[:expired] {
-		w.platform.SetServer(s.Entry())
+	for _, s := range c.servers[:expired] {
+		c.platform.SetServer(s.Entry())
 	}
 	time.Sleep(4 * time.Second)
 }
