--- a/internal/decide/quota/window_test.go
+++ b/internal/decide/quota/window_test.go
@@ -12,8 +12,8 @@
 	"github.com/rookpass/rookpass/internal/decide/quota"
 )
 
-// most returns the largest number of times within any window, which counts both its ends.
-func most(times []time.Time, window time.Duration) int {
+// maxInWindow returns the largest number of times within any window, both ends included.
+func maxInWindow(times []time.Time, window time.Duration) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most, from := 0, 0
 	for i, at := range times {
@@ -25,73 +25,72 @@
 	return most
 }
 
-// allowed is what a window may hold.
+// allowed returns how many requests a window may hold.
 func allowed(l quota.Limit) float64 {
 	return (l.PerSecond*tolerance.Window.Seconds()+l.Burst)*(1+tolerance.Excess) + tolerance.Slack
 }
 
-// homes are the daemons that count one organisation's requests: three, and two that stand in.
-type homes struct {
-	r       *rand.Rand
-	limit   quota.Limit
-	version int64
-	started [5]time.Time
-	buckets [5]*quota.Bucket
-	down    [5]time.Time // until when
-	held    time.Time    // until when grants for later were given
+// replicaSet is the daemons that count one organisation's requests: three replicas and two stand-ins.
+type replicaSet struct {
+	r             *rand.Rand
+	limit         quota.Limit
+	version       int64
+	started       [5]time.Time
+	buckets       [5]*quota.Bucket
+	downUntil     [5]time.Time
+	reservedUntil time.Time // until when requests have been granted for later
 }
 
-// restart ends a daemon that is back after a time and knows nothing.
-func (h *homes) restart(i int, now time.Time, after time.Duration) {
-	h.buckets[i], h.down[i] = nil, now.Add(after)
-	h.started[i] = h.down[i]
+// restart stops a replica, which returns after a time without its state.
+func (s *replicaSet) restart(i int, now time.Time, after time.Duration) {
+	s.buckets[i], s.downUntil[i] = nil, now.Add(after)
+	s.started[i] = s.downUntil[i]
 }
 
-// take asks as a front does that finds out at once who is down, and returns when the request may run.
-func (h *homes) take(now time.Time, first bool) (time.Time, bool) {
+// take asks like a front daemon that detects at once which replicas are down, and returns when the request may run.
+func (s *replicaSet) take(now time.Time, first bool) (time.Time, bool) {
 	granted, asked := 0, 0
 	var delay time.Duration
-	for i := range h.buckets {
+	for i := range s.buckets {
 		if asked == 3 {
 			break
 		}
-		if now.Before(h.down[i]) {
+		if now.Before(s.downUntil[i]) {
 			continue
 		}
 		asked++
-		if h.buckets[i] == nil {
-			since := h.started[i]
+		if s.buckets[i] == nil {
+			since := s.started[i]
 			if i >= 3 {
 				since = now
 			}
-			h.buckets[i] = quota.NewBucket(tolerance, h.limit, h.version, since, now)
+			s.buckets[i] = quota.NewBucket(tolerance, s.limit, s.version, since, now)
 		}
 		if i >= 3 {
-			h.buckets[i].StandIn(now)
+			s.buckets[i].StandIn(now)
 		}
-		h.buckets[i].SetLimit(h.limit, h.version, now)
-		if h.held.After(now) {
-			h.buckets[i].NoteReserved(h.held.Sub(now), now)
+		s.buckets[i].SetLimit(s.limit, s.version, now)
+		if s.reservedUntil.After(now) {
+			s.buckets[i].NoteReserved(s.reservedUntil.Sub(now), now)
 		}
-		if answer := h.buckets[i].Take(first, now); answer.Granted {
+		if answer := s.buckets[i].Take(first, now); answer.Granted {
 			granted++
 			delay = max(delay, answer.Wait)
 		}
 	}
-	if at := now.Add(delay); granted >= 2 && at.After(h.held) {
-		h.held = at
+	if at := now.Add(delay); granted >= 2 && at.After(s.reservedUntil) {
+		s.reservedUntil = at
 	}
 	return now.Add(delay), granted >= 2
 }
 
-// TestNoWindowHoldsMoreThanTheLimit: over random courses of demand, kills of single homes and of all at once, twice within a
-// window at most, a request counts at some time between its grant and its arrival at a server; no window holds more than
-// is borne.
+// TestNoWindowHoldsMoreThanTheLimit simulates random demand and kills of single replicas and of all at once, at most
+// twice within a window, and checks that no window holds more requests than allowed.
 func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		rate := 1 + r.Float64()*float64(1+r.IntN(300))
-		h := &homes{r: r, limit: quota.Limit{PerSecond: rate, Burst: rate * 2 * r.Float64()}, version: 1}
+		h := &replicaSet{r: r, limit: quota.Limit{PerSecond: rate, Burst: rate * 2 * r.Float64()}, version: 1}
 		now := time.Unix(0, 0)
 		demand := rate * 12 * r.Float64()
 		var ran []time.Time
@@ -109,26 +108,26 @@
 				ran = append(ran, at)
 			}
 		}
-		n := most(ran, tolerance.Window)
+		n := maxInWindow(ran, tolerance.Window)
 		assert.Assert(t, float64(n) <= allowed(h.limit), "seed %d: %d requests of %.1f in a window of %+v, kills %v", seed, n, allowed(h.limit), h.limit, kills)
 	}
 }
 
-// kill ends one home, two, or all five.
-func (h *homes) kill(now time.Time) {
-	for i := range [...]int{1, 2, 5}[h.r.IntN(3)] {
-		h.restart((i+h.r.IntN(5))%5, now, time.Duration(h.r.IntN(2000))*time.Millisecond)
+// kill restarts some replicas, and in a third of the cases all of them.
+func (s *replicaSet) kill(now time.Time) {
+	for i := range [...]int{1, 2, 5}[s.r.IntN(3)] {
+		s.restart((i+s.r.IntN(5))%5, now, time.Duration(s.r.IntN(2000))*time.Millisecond)
 	}
-	if h.r.IntN(3) > 0 {
+	if s.r.IntN(3) > 0 {
 		return
 	}
-	for i := range h.buckets {
-		h.restart(i, now, time.Duration(h.r.IntN(1000))*time.Millisecond)
+	for i := range s.buckets {
+		s.restart(i, now, time.Duration(s.r.IntN(1000))*time.Millisecond)
 	}
 }
 
-// TestCheckerSeesATenthTooMuch: the checker of windows finds a limiter that grants a tenth more than is borne.
-func TestCheckerSeesATenthTooMuch(t *testing.T) {
+// TestWindowCheckDetectsExcess checks that the check of windows finds a limiter that grants 10% too much.
+func TestWindowCheckDetectsExcess(t *testing.T) {
 	for _, rate := range []float64{5, 50, 300} {
 		limit := quota.Limit{PerSecond: rate, Burst: rate}
 		var ran []time.Time
@@ -136,11 +135,12 @@
 		for at := time.Unix(0, 0); at.Before(time.Unix(20, 0)); at = at.Add(pause) {
 			ran = append(ran, at)
 		}
-		assert.Assert(t, float64(most(ran, tolerance.Window)) > allowed(limit), fmt.Sprint(rate))
+		assert.Assert(t, float64(maxInWindow(ran, tolerance.Window)) > allowed(limit), fmt.Sprint(rate))
 	}
 }
 
-// TestLowerLimitBindsAtOnce, and one of an older configuration changes nothing.
+// TestLowerLimitBindsAtOnce checks that a lowered limit applies at once, and that one of an older configuration is
+// ignored.
 func TestLowerLimitBindsAtOnce(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := quota.NewBucket(tolerance, quota.Limit{PerSecond: 100, Burst: 100}, 5, now.Add(-time.Hour), now)
@@ -157,7 +157,7 @@
 	assert.Assert(t, float64(granted) <= allowed(low), "%d granted", granted)
 }
 
-// TestReturnedGrantsServeOthers: what never ran is not counted.
+// TestReturnedGrantsServeOthers checks that requests that did not run are not counted.
 func TestReturnedGrantsServeOthers(t *testing.T) {
 	now := time.Unix(0, 0)
 	limit := quota.Limit{PerSecond: 1, Burst: 1}
--- a/internal/front/balance/cold_test.go
+++ b/internal/front/balance/cold_test.go
@@ -15,16 +15,16 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// What a cold server bears a second, and what it may get in the worst second.
+// coldPerSecond is how many requests a second a cold server can take, coldMost how many it may get in any second.
 const (
 	coldPerSecond = 24.0
 	coldMost      = coldPerSecond*1.5 + 5
 )
 
-// arrivals are when each server got requests.
+// arrivals holds when each server got requests.
 type arrivals map[incarnation.ID][]time.Time
 
-// worst returns the most requests that any server got within any second.
+// worst returns the largest number of requests that a server got within a second.
 func (a arrivals) worst() int {
 	most := 0
 	for _, times := range a {
@@ -39,16 +39,16 @@
 	return most
 }
 
-// returnCold lets daemons send perSecond requests a second to warm servers and to cold ones that have just come, all at once
-// at the start, and returns what the cold ones got. bounded tells whether the cold ones' service names a bound.
-func returnCold(t *testing.T, seed uint64, daemons, warm, cold, perSecond int, bounded bool) (got arrivals, refused int) {
+// simulateColdStart lets daemons send perSecond requests a second to warm servers and to cold ones that all start at
+// once, and returns what the cold ones got. bounded tells whether the service bounds what cold servers get.
+func simulateColdStart(t *testing.T, seed uint64, daemons, warm, cold, perSecond int, bounded bool) (got arrivals, refused int) {
 	random := rand.New(rand.NewPCG(seed, 9))
-	var crowd []*balance.Balancer
+	var balancers []*balance.Balancer
 	for i := range daemons {
 		b := balance.New(fmt.Sprint("front-", seed, "-", i), place.Topology{DataCentre: "here"})
 		b.SetPeerCount(daemons - 1)
 		b.SetPeerDemand(map[string]int{"svc": perSecond / 10})
-		crowd = append(crowd, b)
+		balancers = append(balancers, b)
 	}
 	coldUntil := map[incarnation.ID]time.Time{}
 	list := servers(warm + cold)
@@ -65,9 +65,9 @@
 			n = 3 * daemons // every daemon has turns that wait
 		}
 		for range n {
-			ask := balance.Request{Route: "r", Servers: list, DataCentres: 1, PromptTokens: 100, ColdPerSecond: coldPerSecond,
-				Terms: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}}
-			choice, found := crowd[random.IntN(daemons)].Pick(&ask)
+			req := balance.Request{Route: "r", Servers: list, DataCentres: 1, PromptTokens: 100, ColdPerSecond: coldPerSecond,
+				Constraints: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}}
+			choice, found := balancers[random.IntN(daemons)].Pick(&req)
 			if !found {
 				refused++
 				continue
@@ -83,41 +83,43 @@
 	return got, refused
 }
 
-// TestColdServersGetNoMoreThanTheyBear: over all daemons, in any second, with warm servers beside them and without.
-func TestColdServersGetNoMoreThanTheyBear(t *testing.T) {
+// TestColdServersAreNotOverloaded checks that all daemons together stay within the rate of a cold server in any
+// second, with warm servers and without.
+func TestColdServersAreNotOverloaded(t *testing.T) {
 	for _, daemons := range []int{8, 62, 259} {
 		for seed := range uint64(5) {
 			synctest.Test(t, func(t *testing.T) {
-				got, refused := returnCold(t, seed, daemons, 30, 15, 600, true)
-				assert.Equal(t, len(got), 0, "warm servers take all")
+				got, refused := simulateColdStart(t, seed, daemons, 30, 15, 600, true)
+				assert.Equal(t, len(got), 0, "warm servers must get all requests")
 				assert.Equal(t, refused, 0)
 			})
 			synctest.Test(t, func(t *testing.T) {
-				got, _ := returnCold(t, seed, daemons, 0, 15, 600, true)
+				got, _ := simulateColdStart(t, seed, daemons, 0, 15, 600, true)
 				worst := got.worst()
-				assert.Assert(t, float64(worst) <= coldMost, "%d daemons, seed %d: %d in a second", daemons, seed, worst)
-				assert.Assert(t, worst > 0, "they are used")
+				assert.Assert(t, float64(worst) <= coldMost, "%d daemons, seed %d: %d requests in a second", daemons, seed, worst)
+				assert.Assert(t, worst > 0, "cold servers must get some requests")
 			})
 		}
 	}
 }
 
-// TestTheCheckOfColdServersFinds what goes wrong where nothing bounds them.
-func TestTheCheckOfColdServersFinds(t *testing.T) {
+// TestColdOverloadIsDetected checks that without a bound the check of cold servers fails.
+func TestColdOverloadIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		got, _ := returnCold(t, 1, 62, 0, 3, 600, false)
+		got, _ := simulateColdStart(t, 1, 62, 0, 3, 600, false)
 		assert.Assert(t, float64(got.worst()) > coldMost)
 	})
 }
 
-// TestColdServersWaitForWordOfOthers: a daemon that does not know how many there are sends them nothing.
-func TestColdServersWaitForWordOfOthers(t *testing.T) {
+// TestColdServersUnusedBeforePeersAreKnown checks that a daemon that does not know how many daemons there are sends
+// nothing to cold servers.
+func TestColdServersUnusedBeforePeersAreKnown(t *testing.T) {
 	b := balance.New("front", place.Topology{DataCentre: "here"})
 	list := servers(3)
 	coldUntil := map[incarnation.ID]time.Time{}
 	for _, server := range list {
 		coldUntil[server.ID] = time.Now().Add(time.Hour)
 	}
-	_, found := b.Pick(&balance.Request{Servers: list, ColdPerSecond: coldPerSecond, Terms: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}})
+	_, found := b.Pick(&balance.Request{Servers: list, ColdPerSecond: coldPerSecond, Constraints: catalog.Constraints{ColdUntil: coldUntil, Now: time.Now()}})
 	assert.Assert(t, !found)
 }
--- a/internal/front/balance/connections_test.go
+++ b/internal/front/balance/connections_test.go
@@ -17,7 +17,7 @@
 	"github.com/rookpass/rookpass/internal/front/catalog"
 )
 
-// callKinds are plain calls as agent programs make them: how long they take in the mean, and their share.
+// callKinds are plain calls as agent programs make them, with their mean duration and their share.
 var callKinds = []struct {
 	route string
 	mean  time.Duration
@@ -28,25 +28,25 @@
 	{"sync", 208 * time.Millisecond, 0.1},
 }
 
-// resting keeps which servers a daemon has a resting connection to.
-type resting struct {
+// idleConnections tracks the servers to which a daemon has an idle connection.
+type idleConnections struct {
 	mu     sync.Mutex
 	since  map[incarnation.ID]time.Time
 	opened int
 }
 
-// keptFor is how long a server keeps a connection that rests.
-const keptFor = 4 * time.Second
+// idleTimeout is how long a server keeps an idle connection.
+const idleTimeout = 4 * time.Second
 
-func (r *resting) has(server *catalog.Server) bool {
+func (r *idleConnections) has(server *catalog.Server) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, there := r.since[server.ID]
-	return there && time.Since(at) < keptFor
+	return there && time.Since(at) < idleTimeout
 }
 
-// take uses the resting connection, or opens one.
-func (r *resting) take(server *catalog.Server) {
+// take uses the idle connection, or opens one.
+func (r *idleConnections) take(server *catalog.Server) {
 	if !r.has(server) {
 		r.opened++
 	}
@@ -55,15 +55,15 @@
 	delete(r.since, server.ID)
 }
 
-func (r *resting) put(server *catalog.Server) {
+func (r *idleConnections) put(server *catalog.Server) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.since[server.ID] = time.Now()
 }
 
-// TestFewConnectionsAreOpened: a daemon with 8 calls a second before 145 servers in five data centres, 29 in its own, for a minute.
-// Calls vary by as much as their mean (log-normal). Where servers counted as slow by the mean of all their calls, of whatever
-// kind, it opened 35 connections for 468 calls; now 23.
+// TestFewConnectionsAreOpened simulates a minute of a daemon with 8 calls a second on 145 servers in five data
+// centres, 29 in its own; durations vary by as much as their mean (log-normal). It guards against opening connections
+// because servers that got long calls count as slow.
 func TestFewConnectionsAreOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(5, 6))
@@ -73,7 +73,7 @@
 			list = append(list, &catalog.Server{ID: id(fmt.Sprint(i)), Service: "svc", DataCentre: fmt.Sprint("dc", i/29), Slots: 6})
 		}
 		b := balance.New("front", place.Topology{DataCentre: "dc0"})
-		connections := &resting{since: map[incarnation.ID]time.Time{}}
+		connections := &idleConnections{since: map[incarnation.ID]time.Time{}}
 		calls := 0
 		for began := time.Now(); time.Since(began) < time.Minute; {
 			time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Second) / 8))
--- a/internal/node/matrix_test.go
+++ b/internal/node/matrix_test.go
@@ -118,44 +118,44 @@
 const restartNoticeDelay = 300 * time.Millisecond
 
 // restartServers restarts one server of each service under its old name, without notice.
-func (w *cluster) restartServers() {
-	for _, s := range w.servers[:2] {
+func (c *cluster) restartServers() {
+	for _, s := range c.servers[:2] {
 		s.Restart()
 	}
 	time.Sleep(restartNoticeDelay)
-	for _, s := range w.servers[:2] {
-		w.platform.SetServer(s.Entry())
+	for _, s := range c.servers[:2] {
+		c.platform.SetServer(s.Entry())
 	}
 	time.Sleep(faultDuration - restartNoticeDelay)
 }
 
 // overwriteEntries replaces the entries of one server of each service by invalid ones, and later restores them.
-func (w *cluster) overwriteEntries() {
+func (c *cluster) overwriteEntries() {
 	var overwritten []string
-	for i, s := range w.servers[:2] {
+	for i, s := range c.servers[:2] {
 		entry := s.Entry()
-		w.platform.Set("servers", entry.ID.Server, platformtest.InvalidEntries(entry)[i])
-		w.checker.RecordDraining(entry.ID.Server)
+		c.platform.Set("servers", entry.ID.Server, platformtest.InvalidEntries(entry)[i])
+		c.checker.RecordDraining(entry.ID.Server)
 		overwritten = append(overwritten, entry.ID.Server)
 	}
 	time.Sleep(faultDuration + time.Second) // a second longer than requests may still arrive
-	for i, s := range w.servers[:2] {
+	for i, s := range c.servers[:2] {
 		entry := s.Entry()
 		if entry.ID.Server == overwritten[i] && !entry.Draining {
-			w.checker.RecordReturned(overwritten[i])
+			c.checker.RecordReturned(overwritten[i])
 		}
-		w.platform.SetServer(entry)
+		c.platform.SetServer(entry)
 	}
 }
 
 // restartAll kills daemons together and starts them again.
-func (w *cluster) restartAll(members []*vm) {
-	for _, m := range members {
-		w.kill(m)
+func (c *cluster) restartAll(vms []*vm) {
+	for _, m := range vms {
+		c.kill(m)
 	}
 	time.Sleep(faultDuration / 2)
-	for _, m := range members {
-		w.start(m, false)
+	for _, m := range vms {
+		c.start(m, false)
 	}
 }
 
@@ -169,22 +169,22 @@
 // workloadCase is the work that callers request while faults occur.
 type workloadCase struct {
 	name string
-	work func(w *cluster, b fault, stop <-chan struct{})
+	work func(w *cluster, f fault, stop <-chan struct{})
 	// wantOutcome is an outcome that must occur at least once; empty for none.
 	wantOutcome string
 }
 
 func workloadCases() []workloadCase {
-	asks := func(work workload.Work) func(*cluster, fault, <-chan struct{}) {
+	withCallers := func(work workload.Work) func(*cluster, fault, <-chan struct{}) {
 		return func(w *cluster, _ fault, stop <-chan struct{}) { w.runCallers(work, stop) }
 	}
 	return []workloadCase{
-		{"programs", asks(workload.Programs), "turn whole"},
-		{"turns that are not kept", asks(workload.ResumablePrograms), "question whole"},
-		{"turns of forked lines", asks(workload.ForkedTurns), "turn whole"},
-		{"turns beyond a budget", asks(workload.ForkedBudgets), "status 402"},
-		{"calls that must not run twice", asks(workload.AtMostOnceCalls), "call whole"},
-		{"lookups", asks(workload.IdempotentCalls), "call whole"},
+		{"programs", withCallers(workload.Programs), "turn whole"},
+		{"turns that are not kept", withCallers(workload.ResumablePrograms), "question whole"},
+		{"turns of forked lines", withCallers(workload.ForkedTurns), "turn whole"},
+		{"turns beyond a budget", withCallers(workload.ForkedBudgets), "status 402"},
+		{"calls that must not run twice", withCallers(workload.AtMostOnceCalls), "call whole"},
+		{"lookups", withCallers(workload.IdempotentCalls), "call whole"},
 		{"configurations", (*cluster).changeConfigurations, ""},
 		{"servers that leave", (*cluster).replaceServers, "call whole"},
 	}
@@ -237,20 +237,20 @@
 }
 
 // replaceServers drains one server after the other and brings it back under another name, while callers send calls.
-func (w *cluster) replaceServers(f fault, stop <-chan struct{}) {
+func (c *cluster) replaceServers(f fault, stop <-chan struct{}) {
 	if f.delaysUpdates {
-		w.checker.AllowLateArrivals(time.Now().Add(time.Hour))
+		c.checker.AllowLateArrivals(time.Now().Add(time.Hour))
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { w.runCallers(workload.IdempotentCalls, stop) })
+	wg.Go(func() { c.runCallers(workload.IdempotentCalls, stop) })
 	for i := 0; ; i++ {
-		s := w.servers[i%len(w.servers)]
+		s := c.servers[i%len(c.servers)]
 		wg.Go(func() {
 			old := s.Drain()
-			w.platform.SetServer(old)
+			c.platform.SetServer(old)
 			time.Sleep(2500 * time.Millisecond)
-			w.platform.RemoveServer(old.ID.Server)
-			w.platform.SetServer(s.Replace())
+			c.platform.RemoveServer(old.ID.Server)
+			c.platform.SetServer(s.Replace())
 		})
 		select {
 		case <-stop:
@@ -288,8 +288,8 @@
 	time.Sleep(time.Until(began.Add(workDuration)))
 	close(stop)
 	wg.Wait()
-	broken := w.checker.Violations()
-	assert.Equal(t, len(broken), 0, "%s\n%v", strings.Join(broken, "\n"), w.checker.Counts())
+	violations := w.checker.Violations()
+	assert.Equal(t, len(violations), 0, "%s\n%v", strings.Join(violations, "\n"), w.checker.Counts())
 	if wc.wantOutcome != "" {
 		assert.Assert(t, w.checker.Counts()[wc.wantOutcome] > 0, "no request ended as %q: %v", wc.wantOutcome, w.checker.Counts())
 	}
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -164,9 +164,9 @@
 	response.Body = &eofTracker{response: response}
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	keep := framed && !resp.Close && writeDone && writeErr == nil
-	response.close = func(whole bool) {
+	response.close = func(complete bool) {
 		ended := stop()
-		if !whole || !keep || !ended || c.reader.Buffered() > 0 {
+		if !complete || !keep || !ended || c.reader.Buffered() > 0 {
 			_ = c.Close()
 			response.conn = nil
 		}
@@ -235,8 +235,8 @@
 	return err
 }
 
-// appendHead appends the request line and headers. Header names and values come from a parsed request, so they contain no
-// line breaks.
+// appendHead appends the request line and headers. Header names and values come from a parsed request, so they contain
+// no line breaks.
 func appendHead(b []byte, r *Request) []byte {
 	b = append(b, r.Method...)
 	b = append(b, ' ')
