--- a/internal/rookpassd/daemon/daemon.go
+++ b/internal/rookpassd/daemon/daemon.go
@@ -45,7 +45,7 @@
 	tracing   *telemetry.Tracing
 	tracer    trace.Tracer
 	objects   *httpapi.Client
-	api       *peer.Relayed
+	api       *peer.FallbackAPI
 	limiter   *rate.Limiter
 	config    *config.Store
 	tracker   *cluster.Tracker
@@ -74,7 +74,7 @@
 	Log       logrus.FieldLogger
 	Tracing   *telemetry.Tracing
 	Objects   *httpapi.Client
-	Relayed   *peer.Relayed
+	Relayed   *peer.FallbackAPI
 	Limiter   *rate.Limiter
 	Config    *config.Store
 	Tracker   *cluster.Tracker
@@ -145,7 +145,7 @@
 const maxHelpers = 2
 
 // newRelayed returns the object API as this daemon reaches it, through peers if need be.
-func newRelayed(s settings.Settings, objects *httpapi.Client, peers *peer.Client, tracker *cluster.Tracker) *peer.Relayed {
+func newRelayed(s settings.Settings, objects *httpapi.Client, peers *peer.Client, tracker *cluster.Tracker) *peer.FallbackAPI {
 	return peer.NewRelayed(objects, peers, func() []string {
 		var addresses []string
 		for _, daemon := range tracker.View().Daemons {
--- a/internal/rookpassd/peer/relay.go
+++ b/internal/rookpassd/peer/relay.go
@@ -66,9 +66,9 @@
 // Helpers returns the addresses of peers that may reach the object API, likeliest first.
 type Helpers func() []string
 
-// Relayed is an objectapi.API that asks peers when the object API does not answer this daemon, so that a
+// FallbackAPI is an objectapi.API that asks peers when the object API does not answer this daemon, so that a
 // daemon which is cut off from it alone keeps its log and its lease.
-type Relayed struct {
+type FallbackAPI struct {
 	direct  objectapi.API
 	client  *Client
 	helpers Helpers
@@ -78,15 +78,15 @@
 }
 
 // NewRelayed returns an API over a direct one.
-func NewRelayed(direct objectapi.API, client *Client, helpers Helpers) *Relayed {
-	return &Relayed{direct: direct, client: client, helpers: helpers}
+func NewRelayed(direct objectapi.API, client *Client, helpers Helpers) *FallbackAPI {
+	return &FallbackAPI{direct: direct, client: client, helpers: helpers}
 }
 
 // Direct returns the API without peers.
-func (r *Relayed) Direct() objectapi.API { return r.direct }
+func (r *FallbackAPI) Direct() objectapi.API { return r.direct }
 
 // Count returns how many requests went through peers.
-func (r *Relayed) Count() int64 { return r.relayed.Load() }
+func (r *FallbackAPI) Count() int64 { return r.relayed.Load() }
 
 // lost tells whether an error says that the API itself did not answer.
 func lost(err error) bool {
@@ -96,7 +96,7 @@
 
 // do tries the direct way, then peers. Once a write's outcome is unknown, a later "conflict" may be the
 // write itself, so the outcome stays unknown.
-func (r *Relayed) do(ctx context.Context, args RelayArgs) (RelayReply, error) {
+func (r *FallbackAPI) do(ctx context.Context, args RelayArgs) (RelayReply, error) {
 	var first error
 	if time.Now().UnixNano() >= r.brokenUntil.Load() {
 		var reply RelayReply
@@ -133,31 +133,31 @@
 }
 
 // Get implements objectapi.API.
-func (r *Relayed) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (r *FallbackAPI) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	reply, err := r.do(ctx, RelayArgs{Operation: OperationGet, Key: key})
 	return reply.Object, err
 }
 
 // List implements objectapi.API.
-func (r *Relayed) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
+func (r *FallbackAPI) List(ctx context.Context, prefix string) (objectapi.Snapshot, error) {
 	reply, err := r.do(ctx, RelayArgs{Operation: OperationList, Key: prefix})
 	return reply.Snapshot, err
 }
 
 // Put implements objectapi.API.
-func (r *Relayed) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (objectapi.Object, error) {
+func (r *FallbackAPI) Put(ctx context.Context, key string, value []byte, ifVersion uint64) (objectapi.Object, error) {
 	reply, err := r.do(ctx, RelayArgs{Operation: OperationPut, Key: key, Value: value, Version: ifVersion})
 	return reply.Object, err
 }
 
 // Delete implements objectapi.API.
-func (r *Relayed) Delete(ctx context.Context, key string, ifVersion uint64) (uint64, error) {
+func (r *FallbackAPI) Delete(ctx context.Context, key string, ifVersion uint64) (uint64, error) {
 	reply, err := r.do(ctx, RelayArgs{Operation: OperationDelete, Key: key, Version: ifVersion})
 	return reply.Version, err
 }
 
 // Wait implements objectapi.API.
-func (r *Relayed) Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error) {
+func (r *FallbackAPI) Wait(ctx context.Context, prefixes []string, after uint64, wait time.Duration) (objectapi.Batch, error) {
 	reply, err := r.do(ctx, RelayArgs{Operation: OperationWait, Prefixes: prefixes, Version: after, Wait: wait})
 	return reply.Batch, err
 }
