--- a/internal/rookpassd/daemon/daemon.go
+++ b/internal/rookpassd/daemon/daemon.go
@@ -146,7 +146,7 @@
 
 // newRelayed returns the object API as this daemon reaches it, through peers if need be.
 func newRelayed(s settings.Settings, objects *httpapi.Client, peers *peer.Client, tracker *cluster.Tracker) *peer.FallbackAPI {
-	return peer.NewRelayed(objects, peers, func() []string {
+	return peer.NewFallbackAPI(objects, peers, func() []string {
 		var addresses []string
 		for _, daemon := range tracker.View().Daemons {
 			if !daemon.Sealed && daemon.Name != s.Name && len(addresses) < maxHelpers {
--- a/internal/rookpassd/peer/relay.go
+++ b/internal/rookpassd/peer/relay.go
@@ -77,8 +77,8 @@
 	relayed     atomic.Int64
 }
 
-// NewRelayed returns an API over a direct one.
-func NewRelayed(direct objectapi.API, client *Client, helpers Helpers) *FallbackAPI {
+// NewFallbackAPI returns an API over a direct one.
+func NewFallbackAPI(direct objectapi.API, client *Client, helpers Helpers) *FallbackAPI {
 	return &FallbackAPI{direct: direct, client: client, helpers: helpers}
 }
 
