--- a/internal/rookpassd/daemon/metrics.go
+++ b/internal/rookpassd/daemon/metrics.go
@@ -28,7 +28,7 @@
 			"objectapi_reads":         d.objects.Stats().Reads.Load(),
 			"objectapi_writes":        d.objects.Stats().Writes.Load(),
 			"objectapi_watches":       d.objects.Stats().Watches.Load(),
-			"objectapi_relayed":       d.api.Count(),
+			"objectapi_relayed":       d.api.RelayedRequests(),
 			"config_as_of":            d.config.AsOf(),
 			"peer_probes":             in.prober.Probes(),
 			"peer_suspects":           in.prober.Suspects(),
--- a/internal/rookpassd/peer/relay.go
+++ b/internal/rookpassd/peer/relay.go
@@ -85,8 +85,8 @@
 // Direct returns the API without peers.
 func (r *FallbackAPI) Direct() objectapi.API { return r.direct }
 
-// Count returns how many requests went through peers.
-func (r *FallbackAPI) Count() int64 { return r.relayed.Load() }
+// RelayedRequests returns how many requests went through peers.
+func (r *FallbackAPI) RelayedRequests() int64 { return r.relayed.Load() }
 
 // lost tells whether an error says that the API itself did not answer.
 func lost(err error) bool {
