--- a/internal/rookpassd/peer/relay.go
+++ b/internal/rookpassd/peer/relay.go
@@ -63,22 +63,22 @@
 // directPause is how long requests go through peers after the object API did not answer directly.
 const directPause = 3 * time.Second
 
-// Helpers returns the addresses of peers that may reach the object API, likeliest first.
-type Helpers func() []string
+// RelayAddresses returns the addresses of peers that may reach the object API, likeliest first.
+type RelayAddresses func() []string
 
 // FallbackAPI is an objectapi.API that asks peers when the object API does not answer this daemon, so that a
 // daemon which is cut off from it alone keeps its log and its lease.
 type FallbackAPI struct {
 	direct  objectapi.API
 	client  *Client
-	helpers Helpers
+	helpers RelayAddresses
 	// brokenUntil is when direct requests are tried again, in Unix nanoseconds.
 	brokenUntil atomic.Int64
 	relayed     atomic.Int64
 }
 
 // NewFallbackAPI returns an API over a direct one.
-func NewFallbackAPI(direct objectapi.API, client *Client, helpers Helpers) *FallbackAPI {
+func NewFallbackAPI(direct objectapi.API, client *Client, helpers RelayAddresses) *FallbackAPI {
 	return &FallbackAPI{direct: direct, client: client, helpers: helpers}
 }
 
