--- a/internal/rookpassd/cluster/tracker.go
+++ b/internal/rookpassd/cluster/tracker.go
@@ -63,7 +63,7 @@
 // as the seal decides what was durable.
 func (t *Tracker) Alive(incarnation string) bool {
 	view := t.View()
-	if view.Over(incarnation) {
+	if view.IncarnationEnded(incarnation) {
 		return false
 	}
 	daemon := view.Daemons[incarnation]
@@ -97,7 +97,7 @@
 func (t *Tracker) closeEnded() {
 	view := t.view.Load()
 	for incarnation, ended := range t.ended {
-		if view.Over(incarnation) {
+		if view.IncarnationEnded(incarnation) {
 			close(ended)
 			delete(t.ended, incarnation)
 		}
--- a/internal/rookpassd/cluster/view.go
+++ b/internal/rookpassd/cluster/view.go
@@ -38,15 +38,15 @@
 		return nil, false
 	}
 	incarnation := v.Partitions[partition].OwnerIncarnation
-	if v.Over(incarnation) {
+	if v.IncarnationEnded(incarnation) {
 		return nil, false
 	}
 	return v.Daemons[incarnation].Daemon, true
 }
 
-// Over tells whether an incarnation can make nothing durable any more: its log is sealed, or its lease was
+// IncarnationEnded tells whether an incarnation can make nothing durable any more: its log is sealed, or its lease was
 // cleaned up after that.
-func (v *View) Over(incarnation string) bool {
+func (v *View) IncarnationEnded(incarnation string) bool {
 	daemon, found := v.Daemons[incarnation]
 	return !found || daemon.Sealed
 }
--- a/internal/rookpassd/daemon/incarnation.go
+++ b/internal/rookpassd/daemon/incarnation.go
@@ -59,7 +59,7 @@
 	in.spending = spending.New(spending.Options{
 		API: d.api, Limiter: d.limiter, Incarnation: in.name,
 		Budget: func(organisation string) int64 { return d.config.View().Organisations[organisation].GetBudgetTokens() },
-		Ended:  func(incarnation string) bool { return d.tracker.View().Over(incarnation) },
+		Ended:  func(incarnation string) bool { return d.tracker.View().IncarnationEnded(incarnation) },
 	})
 	in.holder = holder.New(in.lifetime, holder.Dependencies{
 		Journal:     in.journal,
