--- a/internal/rookpassd/daemon/stop.go
+++ b/internal/rookpassd/daemon/stop.go
@@ -97,7 +97,7 @@
 func (d *Daemon) handEverythingOver(ctx context.Context, in *incarnation) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	for ctx.Err() == nil && !in.ownership.Empty() {
+	for ctx.Err() == nil && !in.ownership.OwnsNone() {
 		if d.alone(in) {
 			return
 		}
@@ -127,7 +127,7 @@
 			return // The lease lapses instead.
 		}
 		lease := &peerv1.Daemon{}
-		if proto.Unmarshal(object.Value, lease) != nil || lease.Sealed || !in.ownership.Empty() {
+		if proto.Unmarshal(object.Value, lease) != nil || lease.Sealed || !in.ownership.OwnsNone() {
 			return
 		}
 		lease.Sealed, lease.LastSegment, lease.SealedAtUnixMs = true, in.journal.Position(), time.Now().UnixMilli()
--- a/internal/rookpassd/ownership/controller.go
+++ b/internal/rookpassd/ownership/controller.go
@@ -117,8 +117,8 @@
 // Drain lets the controller hand all partitions over. The lease must say so too.
 func (c *Controller) Drain() { c.draining.Store(true) }
 
-// Empty tells whether no partition is in service here.
-func (c *Controller) Empty() bool {
+// OwnsNone tells whether no partition is in service here.
+func (c *Controller) OwnsNone() bool {
 	for number := range c.Tracker.View().Partitions {
 		if _, owned := c.Holder.Owns(uint32(number)); owned {
 			return false
