--- a/internal/rookpassd/ownership/bench_test.go
+++ b/internal/rookpassd/ownership/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// BenchmarkRecovery is the time to decode and replay a log, by programs and bytes of history, without the
-// object API's time to read it.
+// BenchmarkRecovery measures decoding and replaying a log, by number of programs and bytes of history. It excludes
+// reads from the object API.
 func BenchmarkRecovery(b *testing.B) {
 	for _, programs := range []int{100, 1000} {
 		for _, bytes := range []int{1 << 10, 16 << 10} {
@@ -47,7 +47,7 @@
 	}
 }
 
-// text returns text that compresses about as prose does.
+// text returns size bytes of text that compresses about as well as prose.
 func text(size, seed int) []byte {
 	out := make([]byte, 0, size)
 	for i := 0; len(out) < size; i++ {
--- a/internal/rookpassd/ownership/checkpoint.go
+++ b/internal/rookpassd/ownership/checkpoint.go
@@ -14,8 +14,8 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// needsCheckpoint tells whether a partition's recovery would read too much of this daemon's log, or any of
-// another's.
+// needsCheckpoint reports whether recovering a partition would read another daemon's log, or more than
+// CheckpointSegments segments of this daemon's log.
 func (c *Controller) needsCheckpoint(partition *peerv1.Partition) bool {
 	for _, log := range partition.Logs {
 		if log.Incarnation != c.Incarnation {
@@ -26,8 +26,8 @@
 	return last >= 0 && c.Journal.Position() >= partition.Logs[last].From+c.CheckpointSegments
 }
 
-// checkpoint writes a partition's state, so that its recovery starts from there, and removes what is no
-// longer needed. The state may hold records from after the cut; replaying them changes nothing.
+// checkpoint writes a partition's state as the new starting point of its recovery and removes the previous
+// checkpoint. The state may include records from after the cut position; replaying those is idempotent.
 func (c *Controller) checkpoint(ctx context.Context, partition cluster.VersionedPartition) error {
 	cut := c.Journal.Position()
 	snapshots := c.Holder.Snapshots(partition.Number, c.Retention)
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// removeCheckpoint deletes a checkpoint that no partition refers to. What can't be deleted now stays; it
-// only takes room.
+// removeCheckpoint deletes a checkpoint that no partition refers to. It stops at the first error; the remaining
+// chunks stay in storage unused.
 func (c *Controller) removeCheckpoint(ctx context.Context, prefix string, chunks uint32) {
 	for chunk := range chunks {
 		if err := c.remove(ctx, keyspace.CheckpointChunk(prefix, chunk)); err != nil {
@@ -83,31 +83,30 @@
 	return err
 }
 
-// Trimmer removes the segments of this daemon's log that no partition needs any more. Use NewTrimmer, then
-// Trim now and then.
+// Trimmer removes the segments of this daemon's log that no partition needs any more. Call Trim periodically.
 type Trimmer struct {
 	controller *Controller
 	published  func() uint64
-	// trimmed is the last segment removed.
-	trimmed uint64
+	// lastTrimmed is the last segment removed.
+	lastTrimmed uint64
 }
 
-// NewTrimmer returns a trimmer of the controller's log. published returns the last segment that the lease
-// object shows.
+// NewTrimmer returns a Trimmer for the controller's log. published returns the last segment recorded in the
+// lease object.
 func NewTrimmer(c *Controller, published func() uint64) *Trimmer {
 	return &Trimmer{controller: c, published: published}
 }
 
-// Trim removes up to limit segments. What the lease object shows as the newest stays, so that a daemon that
-// seals the log always finds its end.
+// Trim removes up to limit segments. It keeps the last segment recorded in the lease object, so that a daemon that
+// seals the log can find its end.
 func (t *Trimmer) Trim(ctx context.Context, limit int) error {
 	c := t.controller
 	keep := min(t.published(), firstNeeded(c.Tracker.View(), c.Incarnation))
-	for ; limit > 0 && t.trimmed+1 < keep; limit-- {
-		if err := c.remove(ctx, keyspace.Segment(c.Incarnation, t.trimmed+1)); err != nil {
+	for ; limit > 0 && t.lastTrimmed+1 < keep; limit-- {
+		if err := c.remove(ctx, keyspace.Segment(c.Incarnation, t.lastTrimmed+1)); err != nil {
 			return err
 		}
-		t.trimmed++
+		t.lastTrimmed++
 	}
 	return nil
 }
--- a/internal/rookpassd/ownership/claim.go
+++ b/internal/rookpassd/ownership/claim.go
@@ -18,7 +18,7 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// claim makes this daemon the owner of a partition without a living one, and recovers it.
+// claim makes this daemon the owner of a partition that has no live owner, and recovers the partition.
 func (c *Controller) claim(ctx context.Context, number uint32, old cluster.VersionedPartition) error {
 	began := time.Now()
 	claimed := &peerv1.Partition{Number: number}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// closeRange ends the open range of a log that takes no further segments.
+// closeRange sets the end of the open range of a log to which no further segments are appended.
 func closeRange(partition *peerv1.Partition, incarnation string, last uint64) {
 	for _, log := range partition.Logs {
 		if log.Incarnation == incarnation && log.To == 0 {
@@ -55,9 +55,9 @@
 	}
 }
 
-// replace writes a partition's object if it is still at the given version. After a write whose answer was
-// lost it writes again until the answer is certain: either write takes effect or the version has moved past
-// both, so that none can take effect later. On ErrConflict it returns what stands.
+// replace writes a partition's object if it is still at the given version. After a write with an unknown outcome it
+// retries until one write succeeds or the version has changed, so that no write can take effect later. On ErrConflict
+// it returns the stored partition.
 func (c *Controller) replace(ctx context.Context, partition *peerv1.Partition, version uint64) (*peerv1.Partition, error) {
 	value, err := proto.Marshal(partition)
 	if err != nil {
@@ -73,19 +73,20 @@
 		case err == nil:
 			return partition, nil
 		case errors.Is(err, objectapi.ErrConflict):
-			return c.standing(ctx, partition)
+			return c.resolveConflict(ctx, partition)
 		case errors.Is(err, objectapi.ErrUnavailable) && !uncertain:
 			return nil, err
 		}
 		uncertain = true
-		if err := wait.For(ctx, retryPause); err != nil {
+		if err := wait.For(ctx, retryDelay); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// standing reads a partition's object after a conflict. If it is what this daemon wrote, there was none.
-func (c *Controller) standing(ctx context.Context, written *peerv1.Partition) (*peerv1.Partition, error) {
+// resolveConflict reads a partition's object after a conflict. It returns no error if the object holds this daemon's
+// own write, and ErrConflict otherwise.
+func (c *Controller) resolveConflict(ctx context.Context, written *peerv1.Partition) (*peerv1.Partition, error) {
 	for {
 		object, err := c.API.Get(ctx, keyspace.Partition(written.Number))
 		if err == nil {
@@ -98,22 +99,22 @@
 			}
 			return stored, objectapi.ErrConflict
 		}
-		if err := wait.For(ctx, retryPause); err != nil {
+		if err := wait.For(ctx, retryDelay); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// sameWrite tells whether two states of a partition's object come from one write: an epoch has one owner,
-// and each of its owner's checkpoints another prefix.
+// sameWrite reports whether two states of a partition's object come from the same write: an epoch has one owner,
+// and each checkpoint by that owner has a different prefix.
 func sameWrite(a, b *peerv1.Partition) bool {
 	return a.Epoch == b.Epoch && a.OwnerIncarnation == b.OwnerIncarnation && a.CheckpointPrefix == b.CheckpointPrefix
 }
 
-// retryPause is the time between attempts whose answer was lost.
-const retryPause = 100 * time.Millisecond
+// retryDelay is the time between retries of object API requests, and the retry delay in refusals to peers.
+const retryDelay = 100 * time.Millisecond
 
-// recover rebuilds a partition that this daemon owns from its checkpoint and logs, and puts it in service.
+// recover rebuilds a partition that this daemon owns from its checkpoint and logs, and starts serving it.
 func (c *Controller) recover(ctx context.Context, partition *peerv1.Partition) error {
 	programs, err := c.load(ctx, partition)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return c.Holder.Recover(ctx, partition.Number, partition.Epoch, programs)
 }
 
-// load reads what makes up a partition's state.
+// load reads a partition's checkpoint, replays its logs and returns its programs by ID.
 func (c *Controller) load(ctx context.Context, partition *peerv1.Partition) (map[string]*program.Program, error) {
 	programs := map[string]*program.Program{}
 	err := journal.ReadCheckpoint(ctx, c.API, partition.CheckpointPrefix, partition.CheckpointChunks,
@@ -144,7 +145,7 @@
 	return programs, nil
 }
 
-// replay applies a partition's records.
+// replay applies a partition's records from the segments to programs.
 func replay(programs map[string]*program.Program, partition uint32, segments []*peerv1.Segment) {
 	now := time.Now().UnixMilli()
 	for _, segment := range segments {
@@ -162,38 +163,37 @@
 	}
 }
 
-// Prepare implements the new owner's side of a hand-over: it expects the partition's state and returns the
-// last segment of its log.
+// Prepare announces a hand-over to this daemon, the new owner. It returns the last segment of this daemon's log.
 func (c *Controller) Prepare(incarnation string, number uint32) (uint64, error) {
 	if incarnation != c.Incarnation {
-		return 0, verdict.RetryLater(verdict.NotOwner, retryPause, "incarnation %s is over", incarnation)
+		return 0, verdict.RetryLater(verdict.NotOwner, retryDelay, "incarnation %s has ended", incarnation)
 	}
 	if c.draining.Load() {
-		return 0, verdict.RetryLater(verdict.Unavailable, retryPause, "daemon is draining")
+		return 0, verdict.RetryLater(verdict.Unavailable, retryDelay, "daemon is draining")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.expected[number] = time.Now()
+	c.expectedHandOvers[number] = time.Now()
 	return c.Journal.Position(), nil
 }
 
-// Adopt puts a partition in service whose old owner made this daemon the owner and sends its state.
+// Adopt starts serving a partition with the state that its previous owner sent after making this daemon the owner.
 func (c *Controller) Adopt(incarnation string, number uint32, epoch uint64, programs []*peerv1.ProgramSnapshot) error {
 	c.mu.Lock()
-	_, expected := c.expected[number]
-	delete(c.expected, number)
+	_, expected := c.expectedHandOvers[number]
+	delete(c.expectedHandOvers, number)
 	c.mu.Unlock()
-	// Once the grace has passed, the partition is being recovered from the log: the state comes too late.
+	// After adoptGrace the partition is recovered from the log instead, so a late state is refused.
 	if incarnation != c.Incarnation || !expected {
-		return verdict.RetryLater(verdict.NotOwner, retryPause, "hand-over was not expected")
+		return verdict.RetryLater(verdict.NotOwner, retryDelay, "hand-over was not expected")
 	}
 	return c.Holder.Adopt(number, epoch, programs)
 }
 
-// closeTimeout bounds how long a partition is closed while its last records become durable.
+// closeTimeout bounds how long closing a partition waits for its last records to become durable.
 const closeTimeout = time.Second
 
-// handOver gives a partition to another daemon: its calls under way go on here and report to the new owner.
+// handOver transfers a partition to another daemon. Calls in flight continue here and report to the new owner.
 func (c *Controller) handOver(ctx context.Context, partition cluster.VersionedPartition, target *peerv1.Daemon) error {
 	number := partition.Number
 	position, err := c.Peers.Prepare(ctx, target.PeerAddress, target.Incarnation, number)
@@ -214,9 +214,9 @@
 	moved.Logs = append(moved.Logs, &peerv1.LogRange{Incarnation: target.Incarnation, From: position + 1})
 	stored, err := c.replace(ctx, moved, partition.Version)
 	if err != nil {
-		return c.notHandedOver(ctx, partition.Partition, stored, err)
+		return c.abortHandOver(ctx, partition.Partition, stored, err)
 	}
-	c.give(number, moved.Epoch)
+	c.recordHandOver(number, moved.Epoch)
 	c.Holder.Drop(number)
 	c.stats.HandOvers.Add(1)
 	err = c.Peers.Adopt(ctx, target.PeerAddress, target.Incarnation, number, moved.Epoch, programs)
@@ -227,13 +227,13 @@
 	return nil
 }
 
-// notHandedOver puts a partition back in service if it certainly is still this daemon's. A hand-over whose
-// outcome stays unknown leaves it closed: the incarnation is over.
-func (c *Controller) notHandedOver(ctx context.Context, old, stored *peerv1.Partition, err error) error {
+// abortHandOver reopens a partition after a failed hand-over. It drops the partition if the stored epoch is newer, and
+// leaves it closed if ctx has ended.
+func (c *Controller) abortHandOver(ctx context.Context, old, stored *peerv1.Partition, err error) error {
 	switch {
 	case ctx.Err() != nil:
 	case stored != nil && stored.Epoch > old.Epoch:
-		c.give(old.Number, stored.Epoch)
+		c.recordHandOver(old.Number, stored.Epoch)
 		c.Holder.Drop(old.Number)
 	default:
 		c.Holder.Reopen(old.Number)
@@ -241,20 +241,20 @@
 	return err
 }
 
-// give remembers that a partition is another daemon's from an epoch on, since the view may show that late.
-func (c *Controller) give(number uint32, epoch uint64) {
+// recordHandOver records the epoch from which another daemon owns a partition, since the view may lag behind.
+func (c *Controller) recordHandOver(number uint32, epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.given[number] = epoch
+	c.handedOverEpoch[number] = epoch
 }
 
-// outdated tells whether the view, which shows a partition at an epoch, lags behind this daemon's own last
-// step.
-func (c *Controller) outdated(number uint32, shown, epoch uint64, owned bool) bool {
+// viewIsStale reports whether the epoch that the view shows for a partition is older than the epoch served here or
+// that of the last hand-over by this daemon.
+func (c *Controller) viewIsStale(number uint32, shown, epoch uint64, owned bool) bool {
 	if owned && epoch > shown {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return shown < c.given[number]
+	return shown < c.handedOverEpoch[number]
 }
--- a/internal/rookpassd/ownership/controller.go
+++ b/internal/rookpassd/ownership/controller.go
@@ -1,8 +1,8 @@
-// Package ownership decides which partitions this daemon serves: it seals the logs of dead daemons, claims
-// partitions that fall to it, recovers them, and hands partitions over to daemons that should have them.
+// Package ownership decides which partitions this daemon serves: it seals the logs of dead daemons, claims and
+// recovers partitions assigned to this daemon, and hands partitions over to their preferred owners.
 //
-// The controller is level-triggered: each pass compares the cluster's view with what is in service here and
-// does the next step. Every step can be repeated, by this daemon or another.
+// The controller is level-triggered: each pass compares the cluster view with the partitions served here and
+// performs the next step. Every step can be repeated, by this daemon or another.
 package ownership
 
 import (
@@ -34,7 +34,7 @@
 	ExpireRemote(ctx context.Context, alive func(incarnation string) bool)
 }
 
-// Journal is this daemon's log, as far as ownership needs it.
+// Journal is the part of this daemon's log that ownership needs.
 type Journal interface {
 	Position() uint64
 }
@@ -45,12 +45,12 @@
 	Adopt(ctx context.Context, address, incarnation string, partition uint32, epoch uint64, programs []*peerv1.ProgramSnapshot) error
 }
 
-// Dependencies of a Controller.
+// Dependencies holds what a Controller uses.
 type Dependencies struct {
 	Name        string
 	Incarnation string
 	API         objectapi.API
-	// Limiter is this daemon's share of the object API's writes.
+	// Limiter limits this daemon's writes to the object API.
 	Limiter *rate.Limiter
 	Tracker *cluster.Tracker
 	Holder  Holder
@@ -59,43 +59,43 @@
 	Log     logrus.FieldLogger
 	// Retention is how long an ended program's answers can be fetched.
 	Retention time.Duration
-	// CheckpointSegments is how many segments of the log a partition may need for its recovery.
+	// CheckpointSegments is the number of log segments after which a partition is checkpointed.
 	CheckpointSegments uint64
 }
 
-// Times of the controller.
+// Intervals and delays of the controller.
 const (
-	// passInterval is the longest time between passes.
-	passInterval = time.Second
-	// secondSealer is how much later than the preferred daemon any other seals a dead one's log.
-	secondSealer = 2 * time.Second
-	// adoptGrace is how long a new owner waits for the state that a hand-over brings before it recovers from
-	// the log.
+	// reconcileInterval is the longest wait between passes.
+	reconcileInterval = time.Second
+	// backupSealDelay is how long daemons other than the first wait before they seal a dead daemon's log.
+	backupSealDelay = 2 * time.Second
+	// adoptGrace is how long a new owner waits for the state of an announced hand-over before it recovers the
+	// partition from the log.
 	adoptGrace = 2 * time.Second
-	// startGrace is how long a new daemon waits for others to show up before it claims partitions.
+	// startGrace is how long a new daemon waits for other daemons to appear before it claims partitions.
 	startGrace = 500 * time.Millisecond
 )
 
 // parallelClaims bounds how many partitions are claimed and recovered at once.
 const parallelClaims = 8
 
-// Controller owns the loop. Use New, then Run.
+// Controller runs the reconciliation loop. Use New, then Run.
 type Controller struct {
 	Dependencies
 	logs *logCache
 
 	mu sync.Mutex
-	// expected are partitions whose hand-over to this daemon was announced, with the announcement's time.
-	expected map[uint32]time.Time
-	// given holds, for partitions handed over, the new owner's epoch.
-	given map[uint32]uint64
-	// deadSince tells when an incarnation was first seen dead.
+	// expectedHandOvers maps partitions whose hand-over to this daemon was announced to the announcement's time.
+	expectedHandOvers map[uint32]time.Time
+	// handedOverEpoch maps partitions handed over to the new owner's epoch.
+	handedOverEpoch map[uint32]uint64
+	// deadSince maps incarnations to the time at which they were first considered dead.
 	deadSince map[string]time.Time
 	draining  atomic.Bool
 	stats     Stats
 }
 
-// Stats counts what a controller has done.
+// Stats counts completed operations of a controller.
 type Stats struct {
 	Claims      atomic.Int64
 	HandOvers   atomic.Int64
@@ -103,21 +103,22 @@
 	Checkpoints atomic.Int64
 }
 
-// New returns a controller.
+// New returns a Controller; Run starts it.
 func New(deps Dependencies) *Controller {
 	return &Controller{
 		Dependencies: deps, logs: newLogCache(deps.API),
-		expected: map[uint32]time.Time{}, given: map[uint32]uint64{}, deadSince: map[string]time.Time{},
+		expectedHandOvers: map[uint32]time.Time{}, handedOverEpoch: map[uint32]uint64{}, deadSince: map[string]time.Time{},
 	}
 }
 
 // Stats returns the counters.
 func (c *Controller) Stats() *Stats { return &c.stats }
 
-// Drain lets the controller hand all partitions over. The lease must say so too.
+// Drain makes Prepare refuse further hand-overs. The lease must be marked as draining as well, so that the partitions
+// served here move to other daemons.
 func (c *Controller) Drain() { c.draining.Store(true) }
 
-// OwnsNone tells whether no partition is in service here.
+// OwnsNone reports whether this daemon serves no partition.
 func (c *Controller) OwnsNone() bool {
 	for number := range c.Tracker.View().Partitions {
 		if _, owned := c.Holder.Owns(uint32(number)); owned {
@@ -127,13 +128,13 @@
 	return true
 }
 
-// Run makes passes until ctx ends.
+// Run reconciles after each change of the view, and at least every reconcileInterval, until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	_ = wait.For(ctx, startGrace)
 	for ctx.Err() == nil {
 		changed := c.Tracker.Changed()
-		c.pass(ctx)
-		timer := time.NewTimer(passInterval)
+		c.reconcile(ctx)
+		timer := time.NewTimer(reconcileInterval)
 		select {
 		case <-changed:
 		case <-timer.C:
@@ -144,8 +145,8 @@
 	return ctx.Err()
 }
 
-// pass does the next step for everything that is not as it should be.
-func (c *Controller) pass(ctx context.Context) {
+// reconcile seals the logs of dead daemons and performs the next step for each partition that needs one.
+func (c *Controller) reconcile(ctx context.Context) {
 	view := c.Tracker.View()
 	if _, joined := view.Daemons[c.Incarnation]; !joined {
 		return
@@ -156,7 +157,7 @@
 	var group errgroup.Group
 	group.SetLimit(parallelClaims)
 	for number := range view.Partitions {
-		step := c.next(view, uint32(number), candidates)
+		step := c.nextStep(view, uint32(number), candidates)
 		if step == nil {
 			continue
 		}
@@ -170,12 +171,12 @@
 	_ = group.Wait()
 }
 
-// next returns the step that a partition needs from this daemon, or nil.
-func (c *Controller) next(view *cluster.View, number uint32, candidates []string) func(context.Context) error {
+// nextStep returns the step that a partition needs from this daemon, or nil.
+func (c *Controller) nextStep(view *cluster.View, number uint32, candidates []string) func(context.Context) error {
 	partition := view.Partitions[number]
 	preferred := cluster.Preferred(number, candidates)
 	epoch, owned := c.Holder.Owns(number)
-	if c.outdated(number, partition.GetEpoch(), epoch, owned) {
+	if c.viewIsStale(number, partition.GetEpoch(), epoch, owned) {
 		return nil
 	}
 	if partition.Partition == nil {
@@ -185,7 +186,7 @@
 		return nil
 	}
 	if partition.OwnerIncarnation == c.Incarnation {
-		return c.nextOwned(view, number, owned, preferred)
+		return c.nextOwnedStep(view, number, owned, preferred)
 	}
 	if owned && epoch < partition.Epoch {
 		return func(context.Context) error { c.Holder.Drop(number); return nil }
@@ -197,11 +198,11 @@
 	return nil
 }
 
-// nextOwned is next for a partition whose object names this daemon.
-func (c *Controller) nextOwned(view *cluster.View, number uint32, owned bool, preferred string) func(context.Context) error {
+// nextOwnedStep returns the next step for a partition whose object names this daemon as owner, or nil.
+func (c *Controller) nextOwnedStep(view *cluster.View, number uint32, owned bool, preferred string) func(context.Context) error {
 	partition := view.Partitions[number]
 	switch {
-	case !owned && c.expecting(number):
+	case !owned && c.awaitingAdoption(number):
 		return nil
 	case !owned:
 		return func(ctx context.Context) error { return c.recover(ctx, partition.Partition) }
@@ -215,13 +216,13 @@
 	}
 }
 
-// expecting tells whether a hand-over's state is on its way.
-func (c *Controller) expecting(number uint32) bool {
+// awaitingAdoption reports whether a hand-over was announced at most adoptGrace ago and its state has not arrived.
+func (c *Controller) awaitingAdoption(number uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	announced, found := c.expected[number]
+	announced, found := c.expectedHandOvers[number]
 	if found && time.Since(announced) > adoptGrace {
-		delete(c.expected, number)
+		delete(c.expectedHandOvers, number)
 		return false
 	}
 	return found
--- a/internal/rookpassd/ownership/seal.go
+++ b/internal/rookpassd/ownership/seal.go
@@ -20,8 +20,8 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// sealDead seals the logs of dead daemons. The few that probed it dead do it at once; of those that only saw
-// its lease lapse one does, and the others if it stays undone.
+// sealDead seals the logs of dead daemons. Daemons whose own probes failed, and the preferred candidate, seal at once;
+// the others wait for backupSealDelay first.
 func (c *Controller) sealDead(ctx context.Context, view *cluster.View) {
 	candidates := view.Candidates(c.Tracker.Alive)
 	for incarnation, daemon := range view.Daemons {
@@ -38,7 +38,7 @@
 			c.deadSince[incarnation] = since
 		}
 		first := c.Tracker.Suspected(incarnation) || cluster.Preferred(uint32(xxhash.Sum64String(incarnation)), candidates) == c.Incarnation
-		if !first && time.Since(since) < secondSealer {
+		if !first && time.Since(since) < backupSealDelay {
 			continue
 		}
 		if err := c.seal(ctx, view, daemon); err != nil && ctx.Err() == nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// seal ends a dead daemon's log and marks its lease. From the mark on, every daemon may claim its
-// partitions.
+// seal seals a dead daemon's log and marks its lease as sealed. Other daemons may claim its partitions once the lease
+// is marked.
 func (c *Controller) seal(ctx context.Context, view *cluster.View, daemon cluster.VersionedDaemon) error {
 	after := min(daemon.LogPosition, firstNeeded(view, daemon.Incarnation)-1)
 	seal := journal.Seal
@@ -71,7 +71,7 @@
 	return c.markSealed(ctx, marked, daemon.Version)
 }
 
-// markSealed writes the mark. The log is sealed already, so a lease renewed meanwhile is overwritten.
+// markSealed marks a lease as sealed. The log is sealed already, so a concurrent renewal of the lease is overwritten.
 func (c *Controller) markSealed(ctx context.Context, marked *peerv1.Daemon, version uint64) error {
 	value, err := proto.Marshal(marked)
 	if err != nil {
@@ -84,7 +84,7 @@
 		}
 		_, err := c.API.Put(ctx, key, value, version)
 		if err == nil || errors.Is(err, objectapi.ErrUnknownOutcome) {
-			return nil // If it was lost, the next pass finds the daemon unmarked and seals again.
+			return nil // If the write had no effect, the next pass finds the lease unmarked and seals again.
 		}
 		if !errors.Is(err, objectapi.ErrConflict) {
 			return err
@@ -101,8 +101,7 @@
 	}
 }
 
-// firstNeeded returns the first segment of a log that any partition refers to, or the highest number when
-// none does.
+// firstNeeded returns the first segment of a log that any partition refers to, or math.MaxUint64 if there is none.
 func firstNeeded(view *cluster.View, incarnation string) uint64 {
 	first := uint64(math.MaxUint64)
 	for _, partition := range view.Partitions {
@@ -115,11 +114,10 @@
 	return first
 }
 
-// cachedLogs is how many logs' segments are kept in memory during a takeover.
-const cachedLogs = 4
+// maxCachedLogs is the maximum number of logs in a logCache.
+const maxCachedLogs = 4
 
-// logCache keeps the segments of sealed logs for a short while, since a takeover reads them once for each
-// partition.
+// logCache caches log segments in memory, since a takeover reads a log once for each partition.
 type logCache struct {
 	api objectapi.API
 
@@ -145,13 +143,13 @@
 		c.order = append(c.order, incarnation)
 	}
 	c.logs[incarnation] = cachedLog{from, segments}
-	if len(c.order) > cachedLogs {
+	if len(c.order) > maxCachedLogs {
 		delete(c.logs, c.order[0])
 		c.order = slices.Delete(c.order, 0, 1)
 	}
 }
 
-// read returns the segments from..to of a log.
+// read returns the segments in the inclusive range [from, to] of a log, from the cache or the object API.
 func (c *logCache) read(ctx context.Context, incarnation string, from, to uint64) ([]*peerv1.Segment, error) {
 	if to < from {
 		return nil, nil
