--- a/internal/rookpassd/lease/lease.go
+++ b/internal/rookpassd/lease/lease.go
@@ -1,9 +1,8 @@
-// Package lease keeps a daemon's lease object in the object API: the sign that the daemon lives, and where
-// its peers find it.
+// Package lease maintains a daemon's lease object in the object API. The lease shows that the daemon is alive and
+// holds the addresses at which its peers reach it.
 //
-// No promise rests on the lease. A daemon whose lease has lapsed may still work; what it can make durable
-// ends when another daemon seals its log. The seal is also marked on the lease object, which tells the
-// daemon that its incarnation is over.
+// The lease provides no exclusion: a daemon whose lease has expired may still append to its log until another daemon
+// seals the log. The seal is also marked on the lease object, which tells the daemon that its incarnation has ended.
 package lease
 
 import (
@@ -20,17 +19,16 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// ErrSealed means that another daemon ended this incarnation.
+// ErrSealed means that another daemon sealed this incarnation's log.
 var ErrSealed = errors.New("incarnation sealed by another daemon")
 
-// renewalsPerTTL is how often a lease is renewed in its time to live, so that two lost renewals are
-// survived.
+// renewalsPerTTL is how often a lease is renewed within its time to live, so that it survives two failed renewals.
 const renewalsPerTTL = 3
 
-// retryPause is the pause after a renewal that failed.
-const retryPause = 200 * time.Millisecond
+// retryDelay is the time from a failed renewal to the next attempt.
+const retryDelay = 200 * time.Millisecond
 
-// Keeper creates and renews one lease. Use New, then Run.
+// Keeper creates and renews a lease. Use New, then Run.
 type Keeper struct {
 	api      objectapi.API
 	limiter  *rate.Limiter
@@ -39,14 +37,14 @@
 	mu      sync.Mutex
 	daemon  *peerv1.Daemon
 	version uint64
-	// published is the position in the last renewal that certainly took effect.
+	// published is the log position in the last renewal known to have taken effect.
 	published uint64
 	changed   chan struct{}
 	created   chan struct{}
 }
 
-// New returns a keeper of the given lease. Daemon holds what peers need to know; position returns the last
-// segment of the daemon's log, which each renewal publishes.
+// New returns a Keeper. daemon is the initial content of the lease; position returns the last segment of the daemon's
+// log, which each renewal publishes.
 func New(api objectapi.API, limiter *rate.Limiter, daemon *peerv1.Daemon, position func() uint64) *Keeper {
 	return &Keeper{
 		api: api, limiter: limiter, position: position, daemon: proto.CloneOf(daemon),
@@ -54,18 +52,18 @@
 	}
 }
 
-// Created is closed once the lease object exists.
+// Created returns a channel that is closed once the lease object exists.
 func (k *Keeper) Created() <-chan struct{} { return k.created }
 
-// Published returns the last segment of the log as the lease object shows it. Who seals a log of which no
-// partition needs anything begins there, so older segments may go.
+// Published returns the last segment of the log recorded in the lease object. A daemon that seals the log starts
+// there if no partition needs older segments, so those may be removed.
 func (k *Keeper) Published() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.published
 }
 
-// SetDraining tells peers that this daemon will stop: it is offered no partitions any more.
+// SetDraining marks the lease as draining and renews it at once, so that peers assign no partitions to this daemon.
 func (k *Keeper) SetDraining() {
 	k.mu.Lock()
 	k.daemon.Draining = true
@@ -76,7 +74,7 @@
 	}
 }
 
-// Run keeps the lease until ctx ends, or returns ErrSealed.
+// Run creates the lease and renews it until ctx ends. It returns ErrSealed if the lease was marked sealed or removed.
 func (k *Keeper) Run(ctx context.Context) error {
 	interval := time.Duration(k.daemon.TtlMs) * time.Millisecond / renewalsPerTTL
 	for {
@@ -86,7 +84,7 @@
 		case errors.Is(err, ErrSealed):
 			return err
 		case err != nil:
-			pause = retryPause
+			pause = retryDelay
 		}
 		timer := time.NewTimer(pause)
 		select {
@@ -100,7 +98,7 @@
 	}
 }
 
-// renew writes the lease once. After a conflict or an unknown outcome it reads what stands.
+// renew writes the lease once. After a conflict or an unknown outcome it reads the stored lease.
 func (k *Keeper) renew(ctx context.Context) error {
 	if err := k.limiter.Wait(ctx); err != nil {
 		return err
@@ -116,16 +114,16 @@
 	}
 	object, err := k.api.Put(ctx, keyspace.Daemon(daemon.Incarnation), value, version)
 	if err == nil {
-		k.renewed(object.Version, daemon.LogPosition)
+		k.recordRenewal(object.Version, daemon.LogPosition)
 		return nil
 	}
 	if errors.Is(err, objectapi.ErrConflict) || errors.Is(err, objectapi.ErrUnknownOutcome) {
-		return k.reread(ctx)
+		return k.readLease(ctx)
 	}
 	return err
 }
 
-func (k *Keeper) renewed(version, position uint64) {
+func (k *Keeper) recordRenewal(version, position uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.version == 0 {
@@ -134,14 +132,14 @@
 	k.version, k.published = version, position
 }
 
-// reread learns the lease's version. An object marked as sealed ends the incarnation.
-func (k *Keeper) reread(ctx context.Context) error {
+// readLease reads the stored lease and its version. It returns ErrSealed if the lease is marked sealed or was removed.
+func (k *Keeper) readLease(ctx context.Context) error {
 	object, err := k.api.Get(ctx, keyspace.Daemon(k.daemon.Incarnation))
 	if errors.Is(err, objectapi.ErrNotFound) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		if k.version != 0 {
-			return ErrSealed // Only the clean-up of a sealed log removes a lease.
+			return ErrSealed // A lease is removed only after its log was sealed.
 		}
 		return err
 	}
@@ -155,6 +153,6 @@
 	if stored.Sealed {
 		return ErrSealed
 	}
-	k.renewed(object.Version, stored.LogPosition)
+	k.recordRenewal(object.Version, stored.LogPosition)
 	return nil
 }
