--- a/internal/rookpassd/peer/client.go
+++ b/internal/rookpassd/peer/client.go
@@ -17,22 +17,22 @@
 // DialFunc connects to a daemon's peer address, with mutual TLS unless the settings allow plain text.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Client calls peers. It keeps one connection an address. Use NewClient.
+// Client calls peers. It keeps one connection per address. Use NewClient.
 type Client struct {
 	dial DialFunc
 
 	mu    sync.Mutex
 	conns map[string]*rpc.Client
-	// closed is set once no connection may be opened any more.
+	// closed is set by Close; no connection is opened after that.
 	closed bool
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a Client that connects to peers with dial on demand.
 func NewClient(dial DialFunc) *Client {
 	return &Client{dial: dial, conns: map[string]*rpc.Client{}}
 }
 
-// Close ends all connections. Later calls are refused.
+// Close closes all connections. Later calls fail with rpc.ErrShutdown.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,8 +43,8 @@
 	clear(c.conns)
 }
 
-// call runs one method. When ctx ends first the answer is dropped, and the connection too: a peer that did
-// not answer in time may be hung.
+// call calls one method of a peer. If ctx ends first, it closes the connection, since a peer that did not answer in
+// time may be hung.
 func (c *Client) call(ctx context.Context, address, method string, args, reply any) error {
 	conn, err := c.connect(ctx, address)
 	if err != nil {
@@ -99,20 +99,20 @@
 	_ = conn.Close()
 }
 
-// Probe asks a daemon what it is.
+// Probe returns the state of the daemon at address.
 func (c *Client) Probe(ctx context.Context, address, incarnation string) (ProbeReply, error) {
 	var reply ProbeReply
 	err := c.call(ctx, address, "Probe", ProbeArgs{Incarnation: incarnation}, &reply)
 	return reply, err
 }
 
-// Reach tells whether an incarnation answers at an address.
+// Reach reports whether the given incarnation answers at address.
 func (c *Client) Reach(ctx context.Context, address, incarnation string) bool {
 	reply, err := c.Probe(ctx, address, incarnation)
 	return err == nil && reply.Incarnation == incarnation
 }
 
-// Witness asks the daemon at address whether it reaches another one. The error means that it did not say.
+// Witness asks the daemon at address whether it reaches another one. On an error the result is unknown.
 func (c *Client) Witness(ctx context.Context, address string, args WitnessArgs) (bool, error) {
 	var reply WitnessReply
 	err := c.call(ctx, address, "Witness", args, &reply)
@@ -126,7 +126,7 @@
 	return reply.Snapshot, err
 }
 
-// Prepare announces a hand-over and returns the last segment of the new owner's log.
+// Prepare announces a hand-over to its new owner and returns the last segment of the new owner's log.
 func (c *Client) Prepare(ctx context.Context, address, incarnation string, partition uint32) (uint64, error) {
 	var reply PrepareReply
 	args := PrepareArgs{Incarnation: incarnation, Partition: partition}
@@ -136,7 +136,7 @@
 	return reply.Position, reply.Failure.Err()
 }
 
-// Adopt hands a partition over.
+// Adopt sends a partition's state to its new owner.
 func (c *Client) Adopt(ctx context.Context, address, incarnation string, partition uint32, epoch uint64, programs []*peerv1.ProgramSnapshot) error {
 	args := AdoptArgs{Incarnation: incarnation, Partition: partition, Epoch: epoch}
 	for _, snapshot := range programs {
@@ -153,7 +153,7 @@
 	return reply.Failure.Err()
 }
 
-// Report brings the outcome of a call to the partition's owner.
+// Report sends the outcome of a call to the partition's owner. The result is nil for an abandoned call.
 func (c *Client) Report(ctx context.Context, address, programID, executor string, outcome *peerv1.Record) (*rookpassv1.CallFinal, error) {
 	encoded, err := proto.Marshal(outcome)
 	if err != nil {
@@ -171,19 +171,19 @@
 	return final, proto.Unmarshal(reply.Final, final)
 }
 
-// Ended asks which programs no longer need engine cache.
+// Ended returns which of the given programs no longer need engine cache.
 func (c *Client) Ended(ctx context.Context, address string, programs []string) ([]string, error) {
 	var reply EndedReply
 	err := c.call(ctx, address, "Ended", EndedArgs{Programs: programs}, &reply)
 	return reply.Ended, err
 }
 
-// Drain asks a daemon for a planned stop.
+// Drain asks the daemon at address to begin a planned stop.
 func (c *Client) Drain(ctx context.Context, address string) error {
 	return c.call(ctx, address, "Drain", DrainArgs{}, &DrainReply{})
 }
 
-// Relay asks a daemon to carry out an object API request.
+// Relay asks the daemon at address to execute an object API request.
 func (c *Client) Relay(ctx context.Context, address string, args RelayArgs) (RelayReply, error) {
 	var reply RelayReply
 	err := c.call(ctx, address, "Relay", args, &reply)
--- a/internal/rookpassd/peer/messages.go
+++ b/internal/rookpassd/peer/messages.go
@@ -1,6 +1,6 @@
-// Package peer is the control interface between daemons, over net/rpc with mutual TLS: probes, hand-overs of
-// partitions, reports of calls that outlive a hand-over, and access to the object API for a daemon that is
-// cut off from it. Callers' streams go over gRPC instead, since net/rpc has neither streams nor deadlines.
+// Package peer implements the control interface between daemons over net/rpc: probes, hand-overs of partitions, reports
+// of calls that outlive a hand-over, and relayed object API requests for a daemon that cannot reach the object API.
+// Callers' streams use gRPC instead, since net/rpc has neither streams nor deadlines.
 package peer
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// Failure carries a typed error in a reply, as net/rpc itself only carries text. The zero value is success.
+// Failure carries a typed error in a reply, since net/rpc transmits errors only as text. The zero value is success.
 type Failure struct {
 	Code       verdict.Code
 	Verdict    verdict.Verdict
@@ -18,8 +18,8 @@
 	Message    string
 }
 
-// failure returns err for a reply.
-func failure(err error) Failure {
+// newFailure returns the Failure for err, which may be nil.
+func newFailure(err error) Failure {
 	if err == nil {
 		return Failure{}
 	}
@@ -27,7 +27,7 @@
 	return Failure{Code: typed.Code, Verdict: typed.Verdict, RetryAfter: typed.RetryAfter, Message: typed.Unwrap().Error()}
 }
 
-// Err returns the typed error, or nil.
+// Err returns the typed error, or nil on success.
 func (f Failure) Err() error {
 	switch {
 	case f.Code == "":
@@ -39,33 +39,33 @@
 	}
 }
 
-// ProbeArgs ask whether the daemon at an address is the given incarnation and lives.
+// ProbeArgs are the arguments of Probe and Config.
 type ProbeArgs struct {
 	Incarnation string
 }
 
-// ProbeReply tells what the daemon is and what it knows.
+// ProbeReply describes a daemon and the state of its configuration.
 type ProbeReply struct {
 	Incarnation string
-	// ConfigRevision is the version of the last change in the daemon's configuration; it misses no change up
-	// to ConfigAsOf. ConfigFresh tells whether the object API confirmed that lately.
+	// ConfigRevision is the version of the last change in the daemon's configuration, which includes every change
+	// up to ConfigAsOf. ConfigFresh reports whether the configuration was confirmed recently.
 	ConfigRevision, ConfigAsOf uint64
 	ConfigFresh                bool
 	Draining                   bool
 }
 
-// WitnessArgs ask a daemon to probe another one.
+// WitnessArgs name the daemon that a witness probes.
 type WitnessArgs struct {
 	Address     string
 	Incarnation string
 }
 
-// WitnessReply tells whether the other one answered.
+// WitnessReply reports whether the witness reached the daemon.
 type WitnessReply struct {
 	Reached bool
 }
 
-// ConfigReply is a daemon's whole configuration.
+// ConfigReply holds a daemon's complete configuration.
 type ConfigReply struct {
 	Snapshot objectapi.Snapshot
 }
@@ -76,13 +76,13 @@
 	Partition   uint32
 }
 
-// PrepareReply tells the last segment of the new owner's log.
+// PrepareReply holds the last segment of the new owner's log.
 type PrepareReply struct {
 	Position uint64
 	Failure  Failure
 }
 
-// AdoptArgs hand a partition over.
+// AdoptArgs carry a partition's state to its new owner.
 type AdoptArgs struct {
 	Incarnation string
 	Partition   uint32
@@ -91,7 +91,7 @@
 	Programs [][]byte
 }
 
-// AdoptReply answers AdoptArgs.
+// AdoptReply is the reply to AdoptArgs.
 type AdoptReply struct {
 	Failure Failure
 }
@@ -110,27 +110,27 @@
 	Failure Failure
 }
 
-// EndedArgs ask which of some programs no longer need engine cache.
+// EndedArgs list programs that may no longer need engine cache.
 type EndedArgs struct {
 	Programs []string
 }
 
-// EndedReply lists the programs that have ended or never existed. Programs that the daemon does not own, or
-// is still recovering, are not in it.
+// EndedReply lists the programs that have ended or never existed. It omits programs that the daemon does not own or is
+// still recovering.
 type EndedReply struct {
 	Ended []string
 }
 
-// DrainArgs ask a daemon for a planned stop.
+// DrainArgs are the arguments of Drain.
 type DrainArgs struct{}
 
-// DrainReply answers DrainArgs.
+// DrainReply is the reply to DrainArgs.
 type DrainReply struct{}
 
 // Operation is a kind of object API request.
 type Operation string
 
-// The operations that peers carry out for a daemon that is cut off.
+// The operations that peers execute for a daemon that cannot reach the object API.
 const (
 	OperationGet    Operation = "get"
 	OperationList   Operation = "list"
@@ -139,7 +139,7 @@
 	OperationWait   Operation = "wait"
 )
 
-// RelayArgs are one object API request.
+// RelayArgs hold one object API request.
 type RelayArgs struct {
 	Operation Operation
 	Key       string
@@ -149,7 +149,7 @@
 	Wait      time.Duration
 }
 
-// RelayReply is its outcome. Outcome is one of the names in relay.go, empty on success.
+// RelayReply holds the result of a relayed request. Outcome is one of the names in relay.go, empty on success.
 type RelayReply struct {
 	Object   objectapi.Object
 	Snapshot objectapi.Snapshot
--- a/internal/rookpassd/peer/relay.go
+++ b/internal/rookpassd/peer/relay.go
@@ -9,7 +9,7 @@
 	"github.com/rookpass/rookpass/internal/objects/objectapi"
 )
 
-// Outcomes of a relayed request, as they travel.
+// Outcomes of a relayed request as encoded in RelayReply.
 const (
 	outcomeNotFound    = "not found"
 	outcomeConflict    = "conflict"
@@ -40,8 +40,8 @@
 	return outcomeUnknown
 }
 
-// carryOut runs a relayed request.
-func carryOut(ctx context.Context, api objectapi.API, args RelayArgs, reply *RelayReply) {
+// execute sends the request in args to api and stores the result in reply.
+func execute(ctx context.Context, api objectapi.API, args RelayArgs, reply *RelayReply) {
 	var err error
 	switch args.Operation {
 	case OperationGet:
@@ -60,72 +60,72 @@
 	reply.Outcome = outcomeOf(err)
 }
 
-// directPause is how long requests go through peers after the object API did not answer directly.
-const directPause = 3 * time.Second
+// directRetryDelay is how long requests go through peers after the object API did not answer directly.
+const directRetryDelay = 3 * time.Second
 
-// RelayAddresses returns the addresses of peers that may reach the object API, likeliest first.
+// RelayAddresses returns the peer addresses that relay requests, in the order in which they are tried.
 type RelayAddresses func() []string
 
-// FallbackAPI is an objectapi.API that asks peers when the object API does not answer this daemon, so that a
-// daemon which is cut off from it alone keeps its log and its lease.
+// FallbackAPI is an objectapi.API that sends requests through peers while the object API does not answer this daemon,
+// so that a daemon without a direct connection can still write its log and renew its lease.
 type FallbackAPI struct {
-	direct  objectapi.API
-	client  *Client
-	helpers RelayAddresses
-	// brokenUntil is when direct requests are tried again, in Unix nanoseconds.
-	brokenUntil atomic.Int64
-	relayed     atomic.Int64
+	direct         objectapi.API
+	client         *Client
+	relayAddresses RelayAddresses
+	// directRetryAt is when direct requests are tried again, in Unix nanoseconds.
+	directRetryAt   atomic.Int64
+	relayedRequests atomic.Int64
 }
 
-// NewFallbackAPI returns an API over a direct one.
+// NewFallbackAPI returns a FallbackAPI that tries direct first.
 func NewFallbackAPI(direct objectapi.API, client *Client, helpers RelayAddresses) *FallbackAPI {
-	return &FallbackAPI{direct: direct, client: client, helpers: helpers}
+	return &FallbackAPI{direct: direct, client: client, relayAddresses: helpers}
 }
 
-// Direct returns the API without peers.
+// Direct returns the API that does not use peers.
 func (r *FallbackAPI) Direct() objectapi.API { return r.direct }
 
-// RelayedRequests returns how many requests went through peers.
-func (r *FallbackAPI) RelayedRequests() int64 { return r.relayed.Load() }
+// RelayedRequests returns how many requests peers have relayed.
+func (r *FallbackAPI) RelayedRequests() int64 { return r.relayedRequests.Load() }
 
-// lost tells whether an error says that the API itself did not answer.
-func lost(err error) bool {
+// unanswered reports whether an error means that the object API did not answer.
+func unanswered(err error) bool {
 	return errors.Is(err, objectapi.ErrUnavailable) || errors.Is(err, objectapi.ErrUnknownOutcome) ||
 		errors.Is(err, context.DeadlineExceeded)
 }
 
-// do tries the direct way, then peers. Once a write's outcome is unknown, a later "conflict" may be the
-// write itself, so the outcome stays unknown.
+// do sends a request directly, then through peers. After an attempt with an unknown outcome, a conflict may be caused
+// by that attempt itself, so the outcome stays unknown.
 func (r *FallbackAPI) do(ctx context.Context, args RelayArgs) (RelayReply, error) {
 	var first error
-	if time.Now().UnixNano() >= r.brokenUntil.Load() {
+	if time.Now().UnixNano() >= r.directRetryAt.Load() {
 		var reply RelayReply
-		carryOut(ctx, r.direct, args, &reply)
+		execute(ctx, r.direct, args, &reply)
 		err := outcomes[reply.Outcome]
-		if !lost(err) || ctx.Err() != nil {
+		if !unanswered(err) || ctx.Err() != nil {
 			return reply, err
 		}
-		r.brokenUntil.Store(time.Now().Add(directPause).UnixNano())
+		r.directRetryAt.Store(time.Now().Add(directRetryDelay).UnixNano())
 		first = err
 	}
-	for _, address := range r.helpers() {
+	for _, address := range r.relayAddresses() {
 		reply, err := r.client.Relay(ctx, address, args)
 		if err != nil {
-			first = objectapi.ErrUnknownOutcome // The peer may have carried it out.
+			first = objectapi.ErrUnknownOutcome // The peer may have executed the request.
 			continue
 		}
-		r.relayed.Add(1)
+		r.relayedRequests.Add(1)
 		err = outcomes[reply.Outcome]
 		if errors.Is(err, objectapi.ErrConflict) && errors.Is(first, objectapi.ErrUnknownOutcome) {
 			return reply, objectapi.ErrUnknownOutcome
 		}
-		if !lost(err) {
+		if !unanswered(err) {
 			return reply, err
 		}
 		first = err
 	}
-	// Nobody reaches the API: the next request tries the direct way again.
-	r.brokenUntil.Store(0)
+	// No peer reaches the object API, so the next request is sent directly again.
+	r.directRetryAt.Store(0)
 	if first == nil {
 		first = objectapi.ErrUnavailable
 	}
--- a/internal/rookpassd/peer/server.go
+++ b/internal/rookpassd/peer/server.go
@@ -18,38 +18,38 @@
 // serviceName is the net/rpc name of the service.
 const serviceName = "Peer"
 
-// Bounds on the work that one request may cause here; net/rpc carries no deadline.
+// Timeouts for serving a request, since net/rpc carries no deadline.
 const (
 	witnessTimeout = 500 * time.Millisecond
 	workTimeout    = 10 * time.Second
 )
 
-// Local is what a daemon does for its peers.
+// Local handles the requests of a daemon's peers.
 type Local interface {
-	// Probe tells what this daemon is.
+	// Probe returns this daemon's incarnation and the state of its configuration.
 	Probe() ProbeReply
-	// Reach probes another daemon.
+	// Reach reports whether the given incarnation answers at address.
 	Reach(ctx context.Context, address, incarnation string) bool
-	// Config returns the configuration in force.
+	// Config returns the current configuration.
 	Config() objectapi.Snapshot
-	// Prepare readies this daemon for a hand-over and returns the last segment of its log.
+	// Prepare prepares this daemon for a hand-over and returns the last segment of its log.
 	Prepare(incarnation string, partition uint32) (uint64, error)
-	// Adopt puts a handed-over partition in service.
+	// Adopt starts serving a handed-over partition.
 	Adopt(incarnation string, partition uint32, epoch uint64, programs []*peerv1.ProgramSnapshot) error
-	// Report makes the outcome of a call durable that ran at the partition's old owner.
+	// Report makes the outcome of a call that ran at the partition's previous owner durable.
 	Report(ctx context.Context, programID, executor string, outcome *peerv1.Record) (*rookpassv1.CallFinal, error)
-	// Ended returns which of some programs no longer need engine cache.
+	// Ended returns which of the given programs no longer need engine cache.
 	Ended(programs []string) []string
 	// Drain begins a planned stop.
 	Drain()
-	// ObjectAPI is this daemon's own access to the object API, never another relay.
+	// ObjectAPI returns this daemon's direct access to the object API, so that relayed requests are not relayed again.
 	ObjectAPI() objectapi.API
 }
 
-// Service answers peers. Its exported methods are net/rpc methods.
+// Service serves peers' requests. Its exported methods are net/rpc methods.
 type Service struct{ local Local }
 
-// Serve answers peers on a listener until it is closed.
+// Serve serves peers on a listener until it is closed, then closes all connections and returns the listener's error.
 func Serve(listener net.Listener, local Local) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, &Service{local: local}); err != nil {
@@ -81,14 +81,14 @@
 	}
 }
 
-// Probe answers a probe. It says which incarnation answers, so that a restarted daemon at the same address
-// is not taken for its former self.
+// Probe returns this daemon's state. The reply names the incarnation, so that a restarted daemon at the same address is
+// not mistaken for its previous incarnation.
 func (s *Service) Probe(_ ProbeArgs, reply *ProbeReply) error {
 	*reply = s.local.Probe()
 	return nil
 }
 
-// Witness probes another daemon for the asking one.
+// Witness probes another daemon on behalf of the requesting one.
 func (s *Service) Witness(args WitnessArgs, reply *WitnessReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), witnessTimeout)
 	defer cancel()
@@ -96,45 +96,45 @@
 	return nil
 }
 
-// Config returns the configuration in force.
+// Config returns the current configuration.
 func (s *Service) Config(_ ProbeArgs, reply *ConfigReply) error {
 	reply.Snapshot = s.local.Config()
 	return nil
 }
 
-// Prepare announces a hand-over.
+// Prepare announces a hand-over to this daemon.
 func (s *Service) Prepare(args PrepareArgs, reply *PrepareReply) error {
 	position, err := s.local.Prepare(args.Incarnation, args.Partition)
-	reply.Position, reply.Failure = position, failure(err)
+	reply.Position, reply.Failure = position, newFailure(err)
 	return nil
 }
 
-// Adopt hands a partition over.
+// Adopt hands a partition over to this daemon.
 func (s *Service) Adopt(args AdoptArgs, reply *AdoptReply) error {
 	programs := make([]*peerv1.ProgramSnapshot, len(args.Programs))
 	for i, encoded := range args.Programs {
 		programs[i] = &peerv1.ProgramSnapshot{}
 		if err := proto.Unmarshal(encoded, programs[i]); err != nil {
-			reply.Failure = failure(verdict.Refuse(verdict.Invalid, "program snapshot: %v", err))
+			reply.Failure = newFailure(verdict.Refuse(verdict.Invalid, "program snapshot: %v", err))
 			return nil
 		}
 	}
-	reply.Failure = failure(s.local.Adopt(args.Incarnation, args.Partition, args.Epoch, programs))
+	reply.Failure = newFailure(s.local.Adopt(args.Incarnation, args.Partition, args.Epoch, programs))
 	return nil
 }
 
-// Report brings the outcome of a call that outlived a hand-over.
+// Report accepts the outcome of a call that outlived a hand-over.
 func (s *Service) Report(args ReportArgs, reply *ReportReply) error {
 	outcome := &peerv1.Record{}
 	if err := proto.Unmarshal(args.Outcome, outcome); err != nil {
-		reply.Failure = failure(verdict.Refuse(verdict.Invalid, "outcome: %v", err))
+		reply.Failure = newFailure(verdict.Refuse(verdict.Invalid, "outcome: %v", err))
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), workTimeout)
 	defer cancel()
 	final, err := s.local.Report(ctx, args.ProgramID, args.Executor, outcome)
 	if err != nil {
-		reply.Failure = failure(err)
+		reply.Failure = newFailure(err)
 		return nil
 	}
 	if final != nil {
@@ -143,7 +143,7 @@
 	return err
 }
 
-// Ended tells which programs no longer need engine cache.
+// Ended returns which of the given programs no longer need engine cache.
 func (s *Service) Ended(args EndedArgs, reply *EndedReply) error {
 	reply.Ended = s.local.Ended(args.Programs)
 	return nil
@@ -155,10 +155,10 @@
 	return nil
 }
 
-// Relay carries out an object API request for a daemon that is cut off from it.
+// Relay executes an object API request for a daemon that cannot reach the object API.
 func (s *Service) Relay(args RelayArgs, reply *RelayReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), workTimeout)
 	defer cancel()
-	carryOut(ctx, s.local.ObjectAPI(), args, reply)
+	execute(ctx, s.local.ObjectAPI(), args, reply)
 	return nil
 }
