--- a/internal/rookpassd/membership/prober.go
+++ b/internal/rookpassd/membership/prober.go
@@ -1,5 +1,5 @@
-// Package membership finds dead daemons sooner than their leases lapse. Each daemon probes a few others,
-// chosen so that every daemon is probed by as many, whatever the size of the cluster.
+// Package membership detects dead daemons before their leases expire. Each daemon probes a fixed number of others and
+// is probed by the same number, whatever the size of the cluster.
 package membership
 
 import (
@@ -15,21 +15,21 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/peer"
 )
 
-// Options of a Prober.
+// Options configures a Prober.
 type Options struct {
 	// Interval is the time between probes of one peer.
 	Interval time.Duration
-	// Timeout bounds one probe.
+	// Timeout bounds one probe; witness and configuration requests get twice as long.
 	Timeout time.Duration
 	// Fanout is how many peers a daemon probes.
 	Fanout int
-	// Failures in a row make a peer suspect.
+	// Failures is the number of consecutive failed probes after which a peer is suspected.
 	Failures int
-	// Witnesses is how many other daemons are asked before a peer is taken as dead.
+	// Witnesses is how many other daemons are asked to confirm that a peer is unreachable.
 	Witnesses int
 }
 
-// DefaultOptions returns what rookpassd uses.
+// DefaultOptions returns the options that rookpassd uses.
 func DefaultOptions() Options {
 	return Options{
 		Interval:  500 * time.Millisecond,
@@ -40,14 +40,14 @@
 	}
 }
 
-// Peers is what the prober asks of other daemons; *peer.Client implements it.
+// Peers sends the prober's requests to other daemons; *peer.Client implements it.
 type Peers interface {
 	Probe(ctx context.Context, address, incarnation string) (peer.ProbeReply, error)
 	Witness(ctx context.Context, address string, args peer.WitnessArgs) (bool, error)
 	Config(ctx context.Context, address string) (objectapi.Snapshot, error)
 }
 
-// Prober probes peers and tells the tracker which are dead. Use New, then Run.
+// Prober probes peers and reports dead ones to the tracker. Use New, then Run.
 type Prober struct {
 	self    string
 	tracker *cluster.Tracker
@@ -55,13 +55,13 @@
 	peers   Peers
 	options Options
 	random  *rand.Rand
-	// failures counts failed probes in a row, by incarnation.
+	// failures counts consecutive failed probes by incarnation.
 	failures map[string]int
 	probes   atomic.Int64
 	suspects atomic.Int64
 }
 
-// New returns a prober for the daemon with incarnation self.
+// New returns a Prober for the daemon with incarnation self.
 func New(self string, tracker *cluster.Tracker, store *config.Store, peers Peers, options Options, random *rand.Rand) *Prober {
 	return &Prober{
 		self: self, tracker: tracker, config: store, peers: peers, options: options, random: random,
@@ -72,46 +72,46 @@
 // Probes returns how many probes were sent.
 func (p *Prober) Probes() int64 { return p.probes.Load() }
 
-// Suspects returns how often a peer was taken as dead.
+// Suspects returns how often a peer was reported dead to the tracker.
 func (p *Prober) Suspects() int64 { return p.suspects.Load() }
 
-// Run probes until ctx ends.
+// Run probes peers every Interval until ctx ends.
 func (p *Prober) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.options.Interval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			p.round(ctx)
+			p.probeRound(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// probed is the outcome of one probe.
-type probed struct {
+// probeResult is the outcome of one probe.
+type probeResult struct {
 	incarnation string
 	reply       peer.ProbeReply
 	err         error
 }
 
-func (p *Prober) round(ctx context.Context) {
+func (p *Prober) probeRound(ctx context.Context) {
 	view := p.tracker.View()
 	targets := p.targets(view)
-	results := make(chan probed, len(targets))
+	results := make(chan probeResult, len(targets))
 	for _, incarnation := range targets {
 		address := view.Daemons[incarnation].PeerAddress
 		go func() {
 			probeCtx, cancel := context.WithTimeout(ctx, p.options.Timeout)
 			defer cancel()
 			reply, err := p.peers.Probe(probeCtx, address, incarnation)
-			results <- probed{incarnation, reply, err}
+			results <- probeResult{incarnation, reply, err}
 		}()
 	}
 	p.probes.Add(int64(len(targets)))
 	for range targets {
-		p.take(ctx, view, <-results)
+		p.handleResult(ctx, view, <-results)
 	}
 	for incarnation := range p.failures {
 		if !slices.Contains(targets, incarnation) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// targets returns the daemons that follow this one in order of incarnation.
+// targets returns up to Fanout daemons that follow this one in the sorted ring of incarnations.
 func (p *Prober) targets(view *cluster.View) []string {
 	var others []string
 	for incarnation, daemon := range view.Daemons {
@@ -137,26 +137,27 @@
 	return targets
 }
 
-// take judges one outcome. An answer from another incarnation means that the probed one is gone.
-func (p *Prober) take(ctx context.Context, view *cluster.View, result probed) {
+// handleResult processes the outcome of one probe. A reply from another incarnation at the same address shows that the
+// probed incarnation has ended, so it needs no witness.
+func (p *Prober) handleResult(ctx context.Context, view *cluster.View, result probeResult) {
 	if result.err == nil && result.reply.Incarnation == result.incarnation {
 		delete(p.failures, result.incarnation)
-		p.learnConfig(ctx, view, result)
+		p.syncConfig(ctx, view, result)
 		return
 	}
 	p.failures[result.incarnation]++
 	if p.failures[result.incarnation] < p.options.Failures {
 		return
 	}
-	if result.err == nil || p.confirmed(ctx, view, result.incarnation) {
+	if result.err == nil || p.confirmedDead(ctx, view, result.incarnation) {
 		p.suspects.Add(1)
 		p.tracker.Suspect(result.incarnation)
 	}
 }
 
-// confirmed tells whether a witness answered that it does not reach the peer either. Without a witness
-// nobody is suspected: it may be this daemon that is cut off. The peer's lease then decides.
-func (p *Prober) confirmed(ctx context.Context, view *cluster.View, incarnation string) bool {
+// confirmedDead reports whether a witness failed to reach the peer and none that was asked reached it. Without a
+// witness's reply it returns false, since this daemon may be the one cut off; the peer's lease then decides.
+func (p *Prober) confirmedDead(ctx context.Context, view *cluster.View, incarnation string) bool {
 	var witnesses []string
 	for other, daemon := range view.Daemons {
 		if other != p.self && other != incarnation && !daemon.Sealed && p.failures[other] == 0 {
@@ -179,15 +180,16 @@
 	return agreed
 }
 
-// learnConfig takes the peer's word on the configuration while the object API does not answer this daemon.
-func (p *Prober) learnConfig(ctx context.Context, view *cluster.View, result probed) {
+// syncConfig confirms the configuration from a peer's probe reply. It imports the peer's configuration if this daemon
+// misses a change and cannot confirm its own configuration with the object API.
+func (p *Prober) syncConfig(ctx context.Context, view *cluster.View, result probeResult) {
 	if !result.reply.ConfigFresh {
 		return
 	}
 	if p.config.ConfirmByPeer(result.reply.ConfigRevision, result.reply.ConfigAsOf) {
 		return
 	}
-	// The watch usually brings the change within milliseconds; only a daemon that is cut off fetches it.
+	// The watch usually delivers the change soon; only a daemon without a recent confirmation fetches it.
 	if p.config.Fresh(p.options.Interval) {
 		return
 	}
