--- a/internal/rookpassd/daemon/daemon.go
+++ b/internal/rookpassd/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires one rookpassd together and runs it. Everything that a process needs once is built by
-// a dig container; what ends with the daemon's log is an incarnation, of which a process may live several.
+// Package daemon assembles and runs a rookpassd process. A dig container builds the components that live as long as the
+// process; the components that end with the daemon's log form an incarnation, and a process may run several in turn.
 package daemon
 
 import (
@@ -34,10 +34,10 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("daemon")
 
-// errStopped is the cause of a planned stop.
-var errStopped = errors.New("planned stop")
+// errPlannedStop is the cancellation cause of a planned stop.
+var errPlannedStop = errors.New("planned stop")
 
-// Daemon is one rookpassd. Use New, then Run.
+// Daemon is a rookpassd process. Use New, then Run.
 type Daemon struct {
 	settings  settings.Settings
 	network   network.Network
@@ -55,17 +55,17 @@
 	runner    *backend.Runner
 	limits    *filter.Limits
 
-	// random is used by one goroutine at a time: Run at first, then live.
+	// random is used by one goroutine at a time: Run at first, then runIncarnations.
 	random *rand.Rand
 
 	current  atomic.Pointer[incarnation]
 	draining atomic.Bool
-	// drain is closed by the first call of Drain.
-	drain chan struct{}
-	lives atomic.Int64
+	// drain is closed by the first call to Drain.
+	drain        chan struct{}
+	incarnations atomic.Int64
 }
 
-// params are what the container builds.
+// params holds the components that the container provides.
 type params struct {
 	dig.In
 
@@ -83,8 +83,8 @@
 	Runner    *backend.Runner
 }
 
-// New builds a daemon. Nothing runs or listens yet. random names incarnations and spreads retries; tests seed
-// it.
+// New returns a Daemon that does not run or listen yet. random is used for the names of incarnations and to seed their
+// probers; tests pass a seeded source.
 func New(s settings.Settings, net network.Network, log logrus.FieldLogger, tracing *telemetry.Tracing, random *rand.Rand) (*Daemon, error) {
 	container := dig.New()
 	constructors := []any{
@@ -92,7 +92,7 @@
 		func() network.Network { return net },
 		func() logrus.FieldLogger { return log },
 		func() *telemetry.Tracing { return tracing },
-		newObjects, newLimiter, newPeers, newRelayed, newForwarder, newTracker, newRunner,
+		newObjects, newLimiter, newPeers, newFallbackAPI, newForwarder, newTracker, newRunner,
 		config.NewStore,
 	}
 	for _, constructor := range constructors {
@@ -141,15 +141,15 @@
 
 func newTracker(s settings.Settings) *cluster.Tracker { return cluster.NewTracker(s.Partitions) }
 
-// maxHelpers is how many peers are asked to relay one request.
-const maxHelpers = 2
+// maxRelays is the maximum number of peers that are asked to relay one request.
+const maxRelays = 2
 
-// newRelayed returns the object API as this daemon reaches it, through peers if need be.
-func newRelayed(s settings.Settings, objects *httpapi.Client, peers *peer.Client, tracker *cluster.Tracker) *peer.FallbackAPI {
+// newFallbackAPI returns an object API client that falls back to relaying requests through peers.
+func newFallbackAPI(s settings.Settings, objects *httpapi.Client, peers *peer.Client, tracker *cluster.Tracker) *peer.FallbackAPI {
 	return peer.NewFallbackAPI(objects, peers, func() []string {
 		var addresses []string
 		for _, daemon := range tracker.View().Daemons {
-			if !daemon.Sealed && daemon.Name != s.Name && len(addresses) < maxHelpers {
+			if !daemon.Sealed && daemon.Name != s.Name && len(addresses) < maxRelays {
 				addresses = append(addresses, daemon.PeerAddress)
 			}
 		}
@@ -171,7 +171,7 @@
 	})
 }
 
-// chain returns the filters that every caller's request passes.
+// chain returns the handler of callers' requests with all filters applied.
 func (d *Daemon) chain() filter.Handler {
 	maxAge := time.Duration(d.settings.MaxConfigAgeMillis) * time.Millisecond
 	routed := func(ctx context.Context, r *filter.Request, send filter.Send) error {
@@ -187,8 +187,7 @@
 	)
 }
 
-// Run serves until ctx ends (the daemon dies) or a planned stop is complete. It returns nil after a planned
-// stop.
+// Run serves until ctx ends, a component fails or a planned stop is complete. It returns nil after a planned stop.
 func (d *Daemon) Run(ctx context.Context) error {
 	ctx, kill := context.WithCancelCause(ctx)
 	defer kill(nil)
@@ -202,28 +201,28 @@
 	group.Go(func() error { return d.runner.Run(groupCtx) })
 	group.Go(func() error { return d.followDaemons(groupCtx) })
 	group.Go(func() error { return servers.serve(groupCtx) })
-	group.Go(func() error { return d.live(groupCtx) })
+	group.Go(func() error { return d.runIncarnations(groupCtx) })
 	group.Go(func() error {
 		if d.stop(groupCtx, servers) {
-			kill(errStopped)
+			kill(errPlannedStop)
 		}
 		return nil
 	})
 	err = group.Wait()
 	servers.close()
 	d.closeClients()
-	if errors.Is(context.Cause(ctx), errStopped) {
+	if errors.Is(context.Cause(ctx), errPlannedStop) {
 		return nil
 	}
 	return err
 }
 
-// live lives one incarnation after another.
-func (d *Daemon) live(ctx context.Context) error {
+// runIncarnations runs incarnations one after another, starting a new one when the log of the current one is sealed.
+func (d *Daemon) runIncarnations(ctx context.Context) error {
 	if err := d.checkLayout(ctx); err != nil {
 		return err
 	}
-	// A daemon that knows no configuration must not own programs: it would refuse their calls for good.
+	// A daemon without configuration must not own programs, since it would refuse their calls permanently.
 	select {
 	case <-d.config.Loaded():
 	case <-ctx.Done():
@@ -231,14 +230,14 @@
 	}
 	for {
 		in := d.current.Load()
-		d.lives.Add(1)
+		d.incarnations.Add(1)
 		d.log.WithFields(logrus.Fields{"event": "incarnation.started", "incarnation": in.name}).Info()
 		err := in.run()
-		if errors.Is(err, errStopped) {
-			<-ctx.Done() // The planned stop has some more to do.
+		if errors.Is(err, errPlannedStop) {
+			<-ctx.Done() // Wait until the planned stop is complete.
 			return ctx.Err()
 		}
-		if !errors.Is(err, errOver) || ctx.Err() != nil {
+		if !errors.Is(err, errIncarnationEnded) || ctx.Err() != nil {
 			return err
 		}
 		d.log.WithFields(logrus.Fields{"event": "incarnation.over", "incarnation": in.name}).Warn()
@@ -246,7 +245,7 @@
 	}
 }
 
-// followDaemons tells the runner when the number of daemons changes, since they share the backend servers.
+// followDaemons refreshes the runner when the number of daemons changes, since daemons share the backend servers.
 func (d *Daemon) followDaemons(ctx context.Context) error {
 	count := 0
 	for {
@@ -269,7 +268,7 @@
 	d.objects.Close()
 }
 
-// newAdmin returns the operators' server.
+// newAdmin returns the server of the operators' interface.
 func (d *Daemon) newAdmin() *admin.Server {
 	return admin.New(admin.Dependencies{
 		API:      d.api,
--- a/internal/rookpassd/daemon/incarnation.go
+++ b/internal/rookpassd/daemon/incarnation.go
@@ -24,10 +24,10 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/spending"
 )
 
-// errOver means that another daemon sealed this incarnation's log. The daemon goes on as a new one.
-var errOver = errors.New("incarnation is over")
+// errIncarnationEnded means that another daemon sealed this incarnation's log. The daemon starts a new incarnation.
+var errIncarnationEnded = errors.New("incarnation has ended")
 
-// incarnation is everything that ends when the daemon's log is sealed: its log, lease and partitions.
+// incarnation holds the components that end when the daemon's log is sealed: the log, the lease and the partitions.
 type incarnation struct {
 	name      string
 	daemon    *Daemon
@@ -40,9 +40,9 @@
 	holds     *holds.Controller
 	router    *route.Router
 	spending  *spending.Ledger
-	// end stops everything of the incarnation.
+	// end stops all components of the incarnation.
 	end context.CancelCauseFunc
-	// lifetime ends with the incarnation.
+	// lifetime is canceled when the incarnation ends.
 	lifetime context.Context
 }
 
@@ -106,19 +106,19 @@
 	return in
 }
 
-// trimInterval and trimLimit bound the writes that go into removing old segments.
+// trimInterval and trimLimit limit the rate at which old log segments are removed.
 const (
 	trimInterval = time.Second
 	trimLimit    = 8
 )
 
-// run lives the incarnation. It returns errOver when the log was sealed, and the context's cause when the
-// daemon stops.
+// run runs the incarnation's components. It returns errIncarnationEnded if the log was sealed, and the cancellation
+// cause if the daemon stops.
 func (in *incarnation) run() error {
 	group, ctx := errgroup.WithContext(in.lifetime)
 	sealed := func(err error) error {
 		if errors.Is(err, journal.ErrSealed) || errors.Is(err, lease.ErrSealed) {
-			return errOver
+			return errIncarnationEnded
 		}
 		return err
 	}
@@ -131,8 +131,8 @@
 	group.Go(func() error { return in.trim(ctx) })
 	err := group.Wait()
 	in.end(err)
-	if errors.Is(err, errOver) {
-		return errOver
+	if errors.Is(err, errIncarnationEnded) {
+		return errIncarnationEnded
 	}
 	return context.Cause(in.lifetime)
 }
@@ -143,7 +143,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			// What could not be removed is tried again.
+			// Segments that could not be removed are retried at the next tick.
 			_ = in.trimmer.Trim(ctx, trimLimit)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -151,18 +151,18 @@
 	}
 }
 
-// Times of a report to a partition's new owner.
+// Timeouts and retry delay of a report to a partition's new owner.
 const (
-	reportTimeout  = 2 * time.Second
-	reportPause    = 50 * time.Millisecond
-	reportPatience = 30 * time.Second
+	reportTimeout      = 2 * time.Second
+	reportRetryDelay   = 50 * time.Millisecond
+	reportRetryTimeout = 30 * time.Second
 )
 
-// Report implements holder.Reporter: it finds the present owner and repeats until that one has answered, or
-// says that the call is no longer its.
+// Report implements holder.Reporter: it sends the outcome to the partition's current owner and retries until the owner
+// accepts it or answers verdict.Lost, for up to reportRetryTimeout.
 func (in *incarnation) Report(ctx context.Context, programID, executor string, outcome *peerv1.Record) (*rookpassv1.CallFinal, error) {
 	number := program.PartitionOf(programID, in.daemon.settings.Partitions)
-	giveUp := time.Now().Add(reportPatience)
+	giveUp := time.Now().Add(reportRetryTimeout)
 	for {
 		final, err := in.reportOnce(ctx, number, programID, executor, outcome)
 		if err == nil || verdict.IsCode(err, verdict.Lost) {
@@ -171,14 +171,14 @@
 		if time.Now().After(giveUp) || ctx.Err() != nil {
 			return nil, err
 		}
-		_ = wait.For(ctx, reportPause)
+		_ = wait.For(ctx, reportRetryDelay)
 	}
 }
 
 func (in *incarnation) reportOnce(ctx context.Context, number uint32, programID, executor string, outcome *peerv1.Record) (*rookpassv1.CallFinal, error) {
 	owner, found := in.daemon.tracker.View().Owner(number)
 	if !found {
-		return nil, verdict.Unknown(verdict.NotOwner, reportPause, "partition %d has no owner", number)
+		return nil, verdict.Unknown(verdict.NotOwner, reportRetryDelay, "partition %d has no owner", number)
 	}
 	if owner.Incarnation == in.name {
 		return in.holder.AcceptReport(ctx, programID, executor, outcome)
@@ -187,7 +187,7 @@
 	defer cancel()
 	final, err := in.daemon.peers.Report(ctx, owner.PeerAddress, programID, executor, outcome)
 	if err != nil && !verdict.IsCode(err, verdict.Lost) && !verdict.IsCode(err, verdict.NotOwner) {
-		return nil, verdict.Unknown(verdict.Unavailable, reportPause, "report: %v", err)
+		return nil, verdict.Unknown(verdict.Unavailable, reportRetryDelay, "report: %v", err)
 	}
 	return final, err
 }
--- a/internal/rookpassd/daemon/layout.go
+++ b/internal/rookpassd/daemon/layout.go
@@ -13,11 +13,11 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// layoutPause is the time between attempts to read the layout.
-const layoutPause = 500 * time.Millisecond
+// layoutRetryDelay is the time between attempts to read or write the layout.
+const layoutRetryDelay = 500 * time.Millisecond
 
-// checkLayout makes sure that all daemons count the same partitions. The first daemon of a cluster writes
-// the number; a daemon with another one must not start.
+// checkLayout verifies that all daemons use the same number of partitions. The first daemon of a cluster stores the
+// number; a daemon whose settings differ from it fails to start.
 func (d *Daemon) checkLayout(ctx context.Context) error {
 	own := strconv.FormatUint(uint64(d.settings.Partitions), 10)
 	for ctx.Err() == nil {
@@ -26,7 +26,7 @@
 		case err == nil && string(object.Value) == own:
 			return nil
 		case err == nil:
-			return Error.New("this cluster has %s partitions, the settings say %s", object.Value, own)
+			return Error.New("cluster has %s partitions, but the settings specify %s", object.Value, own)
 		case errors.Is(err, objectapi.ErrNotFound):
 			_, err = d.api.Put(ctx, keyspace.Layout, []byte(own), objectapi.MustNotExist)
 		}
@@ -34,7 +34,7 @@
 			continue
 		}
 		d.log.WithFields(logrus.Fields{"event": "layout.unread", "error": err}).Warn()
-		_ = wait.For(ctx, layoutPause)
+		_ = wait.For(ctx, layoutRetryDelay)
 	}
 	return ctx.Err()
 }
--- a/internal/rookpassd/daemon/local.go
+++ b/internal/rookpassd/daemon/local.go
@@ -9,7 +9,7 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/peer"
 )
 
-// local implements peer.Local for the present incarnation.
+// local implements peer.Local for the current incarnation.
 type local struct{ *Daemon }
 
 // Probe implements peer.Local.
@@ -18,7 +18,7 @@
 		Incarnation:    l.current.Load().name,
 		ConfigRevision: l.config.View().Revision,
 		ConfigAsOf:     l.config.AsOf(),
-		ConfigFresh:    l.config.Fresh(configFreshness),
+		ConfigFresh:    l.config.Fresh(maxPeerConfigAge),
 		Draining:       l.draining.Load(),
 	}
 }
--- a/internal/rookpassd/daemon/metrics.go
+++ b/internal/rookpassd/daemon/metrics.go
@@ -4,15 +4,15 @@
 	"expvar"
 )
 
-// Metrics returns the daemon's counters and gauges. docs/OPERATIONS.md says what each means.
+// Metrics returns the daemon's counters and gauges; docs/OPERATIONS.md describes them.
 func (d *Daemon) Metrics() expvar.Var {
 	return expvar.Func(func() any {
 		in := d.current.Load()
 		calls, backends, owners := in.holder.Stats(), d.runner.Stats(), in.ownership.Stats()
 		return map[string]any{
 			"incarnation":             in.name,
-			"incarnations":            d.lives.Load(),
-			"partitions":              d.owned(in),
+			"incarnations":            d.incarnations.Load(),
+			"partitions":              d.ownedPartitions(in),
 			"calls":                   calls.Calls.Load(),
 			"calls_in_flight":         calls.InFlight.Load(),
 			"calls_replayed":          calls.Replays.Load(),
@@ -43,7 +43,7 @@
 	})
 }
 
-func (d *Daemon) owned(in *incarnation) int {
+func (d *Daemon) ownedPartitions(in *incarnation) int {
 	count := 0
 	for number := range d.settings.Partitions {
 		if _, owned := in.holder.Owns(number); owned {
--- a/internal/rookpassd/daemon/servers.go
+++ b/internal/rookpassd/daemon/servers.go
@@ -21,10 +21,10 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/route"
 )
 
-// maxCallerMessageBytes bounds what callers send in one message.
+// maxCallerMessageBytes is the maximum size of a message from a caller.
 const maxCallerMessageBytes = 1 << 20
 
-// servers are a daemon's listeners and what serves them.
+// servers holds a daemon's listeners and the servers that use them.
 type servers struct {
 	daemon  *Daemon
 	callers *grpc.Server
@@ -34,7 +34,7 @@
 	callerListener, forwardListener, httpListener, peerListener net.Listener
 }
 
-// debugLog takes the HTTP server's complaints about single connections.
+// debugLog logs the HTTP server's connection errors at debug level.
 type debugLog struct{ log logrus.FieldLogger }
 
 // Printf implements fasthttp.Logger.
@@ -42,7 +42,7 @@
 	l.log.WithFields(logrus.Fields{"event": "http.connection", "error": fmt.Sprintf(format, args...)}).Debug()
 }
 
-// listen opens all listeners, so that an address in use is an error at the start.
+// listen opens all listeners, so that an address that is in use fails the start.
 func (d *Daemon) listen() (*servers, error) {
 	s := &servers{daemon: d}
 	chain := d.chain()
@@ -83,7 +83,7 @@
 	return s, nil
 }
 
-// serve answers on all listeners until ctx ends.
+// serve serves requests on all listeners until ctx ends.
 func (s *servers) serve(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error { return s.callers.Serve(s.callerListener) })
@@ -102,10 +102,11 @@
 	return ctx.Err()
 }
 
-// httpStopTimeout bounds how long HTTP requests under way are waited for.
+// httpStopTimeout bounds how long a planned stop waits for HTTP requests in flight.
 const httpStopTimeout = 10 * time.Second
 
-// finishCallers takes no further callers and returns once every answer under way has reached its caller.
+// finishCallers stops accepting callers' requests and waits until those in flight are complete or ctx ends. It waits at
+// most httpStopTimeout for HTTP requests.
 func (s *servers) finishCallers(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -121,7 +122,7 @@
 	}
 }
 
-// close ends everything at once.
+// close stops the gRPC servers and closes all listeners without waiting for requests in flight.
 func (s *servers) close() {
 	s.callers.Stop()
 	s.forward.Stop()
--- a/internal/rookpassd/daemon/stop.go
+++ b/internal/rookpassd/daemon/stop.go
@@ -16,15 +16,15 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// configFreshness is how lately the object API must have answered for this daemon's word on the
-// configuration to count.
-const configFreshness = 8 * time.Second
+// maxPeerConfigAge is the maximum age of the last confirmation at which this daemon reports its configuration to peers
+// as fresh.
+const maxPeerConfigAge = 8 * time.Second
 
-// drainPoll is how often a stopping daemon looks whether it is done.
-const drainPoll = 50 * time.Millisecond
+// drainPollInterval is how often a stopping daemon checks whether all partitions were handed over.
+const drainPollInterval = 50 * time.Millisecond
 
-// Drain begins a planned stop: partitions move to other daemons, calls under way finish, then Run returns.
-// It may be called again.
+// Drain begins a planned stop: partitions move to other daemons, calls in flight finish, then Run returns. Further
+// calls have no effect.
 func (d *Daemon) Drain() {
 	if d.draining.Swap(true) {
 		return
@@ -32,7 +32,7 @@
 	close(d.drain)
 }
 
-// Ready returns why this daemon should get no new callers, or nil.
+// Ready returns nil if this daemon can take new callers, and the reason otherwise.
 func (d *Daemon) Ready() error {
 	switch {
 	case d.draining.Load():
@@ -45,13 +45,13 @@
 	return nil
 }
 
-// Holds tells whether the daemon holds a program's partition.
+// Holds reports whether the daemon serves a program's partition.
 func (d *Daemon) Holds(programID string) bool {
 	_, owned := d.current.Load().holder.Owns(program.PartitionOf(programID, d.settings.Partitions))
 	return owned
 }
 
-// joined tells whether this incarnation is in the view and every partition has an owner.
+// joined reports whether this incarnation is in the view and every partition has an owner.
 func (d *Daemon) joined() bool {
 	view := d.tracker.View()
 	if _, found := view.Daemons[d.current.Load().name]; !found {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// stop waits for Drain and carries the planned stop out. It returns false when ctx ended first.
+// stop waits for Drain and performs the planned stop. It returns false if ctx ends before Drain is called.
 func (d *Daemon) stop(ctx context.Context, s *servers) bool {
 	select {
 	case <-d.drain:
@@ -78,35 +78,35 @@
 	in := d.current.Load()
 	in.ownership.Drain()
 	in.lease.SetDraining()
-	d.handEverythingOver(ctx, in)
+	d.handOverAll(ctx, in)
 	var cut error
 	if guard.Enabled(guard.GracefulStop) {
 		s.finishCallers(ctx)
 		cut = in.holder.Wait(ctx)
 	}
-	d.signOff(ctx, in)
+	d.endIncarnation(ctx, in)
 	d.log.WithFields(logrus.Fields{"event": "daemon.stopped", "calls_cut": cut != nil}).Info()
 	return true
 }
 
-// handOverTimeout bounds how long a stopping daemon tries to hand its partitions over. Without the object API
-// it can't; another daemon then takes them over from the log.
+// handOverTimeout bounds how long a stopping daemon tries to hand over its partitions. Hand-overs need the object API;
+// other daemons recover the remaining partitions from the log.
 const handOverTimeout = 15 * time.Second
 
-// handEverythingOver waits until no partition is in service here, or nobody else could take one.
-func (d *Daemon) handEverythingOver(ctx context.Context, in *incarnation) {
+// handOverAll waits until this daemon serves no partition, no other daemon could own one, or handOverTimeout expires.
+func (d *Daemon) handOverAll(ctx context.Context, in *incarnation) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	for ctx.Err() == nil && !in.ownership.OwnsNone() {
-		if d.alone(in) {
+		if d.onlyCandidate(in) {
 			return
 		}
-		_ = wait.For(ctx, drainPoll)
+		_ = wait.For(ctx, drainPollInterval)
 	}
 }
 
-// alone tells whether no other daemon could own partitions.
-func (d *Daemon) alone(in *incarnation) bool {
+// onlyCandidate reports whether no other daemon could own partitions.
+func (d *Daemon) onlyCandidate(in *incarnation) bool {
 	for _, candidate := range d.tracker.View().Candidates(d.tracker.Alive) {
 		if candidate != in.name {
 			return false
@@ -115,16 +115,16 @@
 	return true
 }
 
-// signOff ends the incarnation and marks its lease sealed, so that nobody waits for it to lapse. The log
-// takes no further segment as its writer has ended.
-func (d *Daemon) signOff(ctx context.Context, in *incarnation) {
+// endIncarnation ends the incarnation and, if it owns no partition, marks its lease sealed, so that other daemons need
+// not wait for the lease to expire.
+func (d *Daemon) endIncarnation(ctx context.Context, in *incarnation) {
 	in.spending.SettleAll(ctx)
-	in.end(errStopped)
+	in.end(errPlannedStop)
 	key := keyspace.Daemon(in.name)
 	for ctx.Err() == nil {
 		object, err := d.api.Get(ctx, key)
 		if err != nil {
-			return // The lease lapses instead.
+			return // The lease expires instead.
 		}
 		lease := &peerv1.Daemon{}
 		if proto.Unmarshal(object.Value, lease) != nil || lease.Sealed || !in.ownership.OwnsNone() {
