--- a/internal/rookpassd/cluster/bench_test.go
+++ b/internal/rookpassd/cluster/bench_test.go
@@ -19,7 +19,7 @@
 		PeerAddress: "10.20.30.40:7500", ForwardAddress: "10.20.30.40:7600", TtlMs: 30000}
 }
 
-// filled returns a tracker that knows so many daemons and partitions.
+// filled returns a tracker with the given number of daemons and partitions.
 func filled(tb testing.TB, daemons int, partitions uint32) *cluster.Tracker {
 	t := cluster.NewTracker(partitions)
 	var objects []objectapi.Object
@@ -38,7 +38,7 @@
 	return t
 }
 
-// BenchmarkRenewals is the cost of one batch of the watch with one lease's renewal, and its size.
+// BenchmarkRenewals measures handling a watch batch with one lease renewal, and reports the lease's encoded size.
 func BenchmarkRenewals(b *testing.B) {
 	for _, daemons := range []int{8, 100, 400} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
--- a/internal/rookpassd/cluster/tracker.go
+++ b/internal/rookpassd/cluster/tracker.go
@@ -16,30 +16,30 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// leaseMargin is added to a lease's time to live before anyone takes it as lapsed.
+// leaseMargin is added to a lease's time to live before the lease counts as expired.
 const leaseMargin = time.Second
 
-// Tracker keeps the view up to date from a watch and judges which daemons live. Readers load the view
-// without a lock; the watch replaces it.
+// Tracker maintains the cluster view from a watch and decides which daemons are alive. Readers load the view without a
+// lock; the watch replaces it.
 type Tracker struct {
 	view atomic.Pointer[View]
 
 	mu sync.Mutex
 	// next is the view being built until the next Confirm; nil when nothing changed.
 	next *View
-	// seen tells when each lease last changed, by this process's monotonic clock.
-	seen map[string]time.Time
-	// suspects are incarnations that failed their probes, and the lease version at that time.
-	suspects map[string]uint64
-	healthy  bool
-	changed  chan struct{}
-	// ended holds, for incarnations that somebody waits for, a channel that is closed once they are sealed.
+	// lastRenewed is when each lease was last seen to change, by this process's monotonic clock.
+	lastRenewed map[string]time.Time
+	// suspects maps incarnations that failed their probes to their lease version at that time.
+	suspects        map[string]uint64
+	sourceAvailable bool
+	changed         chan struct{}
+	// ended maps incarnations passed to Ended to channels that are closed once the incarnation has ended.
 	ended map[string]chan struct{}
 }
 
-// NewTracker returns a tracker for a number of partitions.
+// NewTracker returns a Tracker with an empty view of the given number of partitions.
 func NewTracker(partitions uint32) *Tracker {
-	t := &Tracker{seen: map[string]time.Time{}, suspects: map[string]uint64{}, changed: make(chan struct{}), ended: map[string]chan struct{}{}}
+	t := &Tracker{lastRenewed: map[string]time.Time{}, suspects: map[string]uint64{}, changed: make(chan struct{}), ended: map[string]chan struct{}{}}
 	t.view.Store(emptyView(partitions))
 	return t
 }
@@ -48,7 +48,7 @@
 	return &View{Partitions: make([]VersionedPartition, partitions), Daemons: map[string]VersionedDaemon{}}
 }
 
-// View returns the present view. It must not be changed.
+// View returns the current view, which must not be modified.
 func (t *Tracker) View() *View { return t.view.Load() }
 
 // Changed returns a channel that is closed at the next change of the view or of a daemon's suspicion.
@@ -58,9 +58,9 @@
 	return t.changed
 }
 
-// Alive tells whether an incarnation is thought to live: its log is not sealed, its lease has changed
-// within its time to live, and it answers probes. A wrong "no" costs the daemon its log but no promise,
-// as the seal decides what was durable.
+// Alive reports whether an incarnation is considered alive: its log is not sealed, its lease has changed within its
+// time to live, and it is not suspected. Leases do not expire while the watch is unavailable. A false negative is safe:
+// the daemon's log may be sealed, but no durable record is lost.
 func (t *Tracker) Alive(incarnation string) bool {
 	view := t.View()
 	if view.IncarnationEnded(incarnation) {
@@ -72,15 +72,15 @@
 	if t.suspected(incarnation, daemon.Version) {
 		return false
 	}
-	seen, known := t.seen[incarnation]
-	if !known || !t.healthy {
+	seen, known := t.lastRenewed[incarnation]
+	if !known || !t.sourceAvailable {
 		return true
 	}
 	ttl := time.Duration(daemon.TtlMs) * time.Millisecond
 	return time.Since(seen) <= ttl+leaseMargin
 }
 
-// Ended returns a channel that is closed once an incarnation's log is sealed: it will answer nothing more.
+// Ended returns a channel that is closed once an incarnation has ended: its log is sealed or its lease was removed.
 func (t *Tracker) Ended(incarnation string) <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -88,13 +88,13 @@
 	if ended == nil {
 		ended = make(chan struct{})
 		t.ended[incarnation] = ended
-		t.closeEnded()
+		t.closeEndedChannels()
 	}
 	return ended
 }
 
-// closeEnded tells those who wait for incarnations that are over now.
-func (t *Tracker) closeEnded() {
+// closeEndedChannels closes the channels returned by Ended for incarnations that have ended.
+func (t *Tracker) closeEndedChannels() {
 	view := t.view.Load()
 	for incarnation, ended := range t.ended {
 		if view.IncarnationEnded(incarnation) {
@@ -104,21 +104,21 @@
 	}
 }
 
-// Suspected tells whether this daemon itself found an incarnation dead by probing.
+// Suspected reports whether this daemon's probes found an incarnation dead and its lease has not changed since.
 func (t *Tracker) Suspected(incarnation string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.suspected(incarnation, t.view.Load().Daemons[incarnation].Version)
 }
 
-// suspected tells whether an incarnation failed its probes while its lease was at a version.
+// suspected reports whether an incarnation was suspected while its lease was at the given version.
 func (t *Tracker) suspected(incarnation string, version uint64) bool {
 	at, found := t.suspects[incarnation]
 	return found && at == version
 }
 
-// Suspect marks an incarnation dead until its lease changes. Membership calls it when the incarnation
-// answers neither this daemon's probes nor those of others.
+// Suspect marks an incarnation dead until its lease changes. The prober calls it when the incarnation's probes failed
+// and a witness confirmed that, or another incarnation answered at its address.
 func (t *Tracker) Suspect(incarnation string) {
 	daemon, found := t.View().Daemons[incarnation]
 	if !found {
@@ -128,7 +128,7 @@
 	defer t.mu.Unlock()
 	if t.suspects[incarnation] != daemon.Version {
 		t.suspects[incarnation] = daemon.Version
-		t.wake()
+		t.notifyChanged()
 	}
 }
 
@@ -141,15 +141,15 @@
 	defer t.mu.Unlock()
 	previous := t.view.Load()
 	if version < previous.Version {
-		return // A stale list.
+		return // The list is older than the view.
 	}
 	t.next = emptyView(uint32(len(previous.Partitions)))
 	for _, object := range objects {
 		t.put(object)
 	}
-	for incarnation := range t.seen {
+	for incarnation := range t.lastRenewed {
 		if _, found := t.next.Daemons[incarnation]; !found {
-			delete(t.seen, incarnation)
+			delete(t.lastRenewed, incarnation)
 			delete(t.suspects, incarnation)
 		}
 	}
@@ -172,13 +172,12 @@
 	incarnation, found := strings.CutPrefix(event.Key, keyspace.Daemons)
 	if found && t.next.Daemons[incarnation].Version < event.Version {
 		delete(t.next.Daemons, incarnation)
-		delete(t.seen, incarnation)
+		delete(t.lastRenewed, incarnation)
 		delete(t.suspects, incarnation)
 	}
 }
 
-// put adds an object to the next view. Objects that can't be read are left out: they stand for a daemon
-// or partition of which nothing is known.
+// put adds an object to the next view. Objects that cannot be decoded or are older than the view's are ignored.
 func (t *Tracker) put(object objectapi.Object) {
 	if incarnation, found := strings.CutPrefix(object.Key, keyspace.Daemons); found {
 		daemon := &peerv1.Daemon{}
@@ -188,8 +187,8 @@
 		if t.next.Daemons[incarnation].Version > object.Version {
 			return
 		}
-		if t.view.Load().Daemons[incarnation].Version != object.Version || t.seen[incarnation].IsZero() {
-			t.seen[incarnation] = time.Now()
+		if t.view.Load().Daemons[incarnation].Version != object.Version || t.lastRenewed[incarnation].IsZero() {
+			t.lastRenewed[incarnation] = time.Now()
 		}
 		t.next.Daemons[incarnation] = VersionedDaemon{Daemon: daemon, Version: object.Version}
 		return
@@ -210,37 +209,37 @@
 func (t *Tracker) Confirm(version uint64, _ time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.healthy {
-		t.forgive()
+	if !t.sourceAvailable {
+		t.restartLeaseTimers()
 	}
-	t.healthy = true
+	t.sourceAvailable = true
 	if t.next == nil {
 		return
 	}
 	t.next.Version = max(t.next.Version, version)
 	t.view.Store(t.next)
 	t.next = nil
-	t.closeEnded()
-	t.wake()
+	t.closeEndedChannels()
+	t.notifyChanged()
 }
 
 // SourceUnavailable implements watch.Handler.
 func (t *Tracker) SourceUnavailable() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.healthy = false
+	t.sourceAvailable = false
 }
 
-// forgive gives every lease its whole time to live again after a time in which no renewal could be seen,
-// so that the end of an outage does not look like the death of everyone.
-func (t *Tracker) forgive() {
+// restartLeaseTimers restarts the time to live of every lease after the watch was unavailable, so that missed renewals
+// do not make all daemons look dead.
+func (t *Tracker) restartLeaseTimers() {
 	now := time.Now()
-	for incarnation := range t.seen {
-		t.seen[incarnation] = now
+	for incarnation := range t.lastRenewed {
+		t.lastRenewed[incarnation] = now
 	}
 }
 
-func (t *Tracker) wake() {
+func (t *Tracker) notifyChanged() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
--- a/internal/rookpassd/cluster/view.go
+++ b/internal/rookpassd/cluster/view.go
@@ -1,4 +1,5 @@
-// Package cluster is each daemon's copy of who lives and who owns what, and the rules that follow from it.
+// Package cluster holds each daemon's view of the live daemons and of the owners of partitions, and chooses preferred
+// owners.
 package cluster
 
 import (
@@ -9,30 +10,30 @@
 	peerv1 "github.com/rookpass/rookpass/api/peer/v1"
 )
 
-// VersionedPartition is a partition's object with its version in the object API.
+// VersionedPartition is a partition's object and its version in the object API.
 type VersionedPartition struct {
 	*peerv1.Partition
 	Version uint64
 }
 
-// VersionedDaemon is a lease object with its version.
+// VersionedDaemon is a lease object and its version in the object API.
 type VersionedDaemon struct {
 	*peerv1.Daemon
 	Version uint64
 }
 
-// View is an immutable state of the cluster.
+// View is an immutable snapshot of the cluster's state.
 type View struct {
 	// Partitions is indexed by number; an entry without a Partition has never had an owner.
 	Partitions []VersionedPartition
-	// Daemons is keyed by incarnation and holds sealed ones too.
+	// Daemons is keyed by incarnation and includes sealed ones.
 	Daemons map[string]VersionedDaemon
-	// Version is the object API's version that the view shows.
+	// Version is the object API version of the view.
 	Version uint64
 }
 
-// Owner returns the lease object of a partition's owner. Not found means that the partition has no owner
-// that could answer.
+// Owner returns the lease object of a partition's owner. It returns false if the partition has no owner or its owner's
+// incarnation has ended.
 func (v *View) Owner(partition uint32) (*peerv1.Daemon, bool) {
 	if int(partition) >= len(v.Partitions) || v.Partitions[partition].Partition == nil {
 		return nil, false
@@ -44,15 +45,15 @@
 	return v.Daemons[incarnation].Daemon, true
 }
 
-// IncarnationEnded tells whether an incarnation can make nothing durable any more: its log is sealed, or its lease was
-// cleaned up after that.
+// IncarnationEnded reports whether an incarnation can no longer append to its log: the log is sealed, or the view has
+// no lease for it.
 func (v *View) IncarnationEnded(incarnation string) bool {
 	daemon, found := v.Daemons[incarnation]
 	return !found || daemon.Sealed
 }
 
-// Candidates returns the incarnations that may own partitions: not sealed, not draining, and alive as far
-// as the given function knows. They are in order.
+// Candidates returns the incarnations that may own partitions, sorted: neither sealed nor draining, and alive according
+// to the given function.
 func (v *View) Candidates(alive func(incarnation string) bool) []string {
 	var names []string
 	for incarnation, daemon := range v.Daemons {
@@ -64,8 +65,8 @@
 	return names
 }
 
-// Preferred returns the candidate that should own a partition, by rendezvous hash, so that a change of
-// the candidates moves few partitions. It returns "" when there is no candidate.
+// Preferred returns the candidate that should own a partition, chosen by rendezvous hashing, so that a change of
+// candidates moves few partitions. It returns "" if there is no candidate.
 func Preferred(partition uint32, candidates []string) string {
 	best, bestScore := "", uint64(0)
 	var seed [4]byte
