--- a/internal/rookpassd/config/kinds.go
+++ b/internal/rookpassd/config/kinds.go
@@ -5,7 +5,7 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// The kinds as they stand in keys.
+// Names of kinds in object API keys.
 const (
 	organisationPath = "organisation"
 	definitionPath   = "definition"
--- a/internal/rookpassd/config/view.go
+++ b/internal/rookpassd/config/view.go
@@ -1,5 +1,5 @@
-// Package config is each daemon's copy of the configuration that operators made: organisations, program
-// definitions, backend servers and operator accounts.
+// Package config holds each daemon's copy of the operators' configuration: organisations, program definitions, backend
+// servers and operator accounts.
 package config
 
 import (
@@ -16,15 +16,15 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// View is an immutable state of the configuration.
+// View is an immutable snapshot of the configuration.
 type View struct {
-	// Revision is the object API's version of the last change that the view shows. It only ever rises.
+	// Revision is the object API version of the last change in the view. It increases monotonically.
 	Revision      uint64
 	Organisations map[string]*rookpassv1.Organisation
 	Definitions   map[string]*rookpassv1.Definition
 	Backends      map[string]*rookpassv1.BackendServer
 	Operators     map[string]*rookpassv1.OperatorAccount
-	// Versions holds each object's own version, by key.
+	// Versions holds the version of each object by key.
 	Versions map[string]uint64
 }
 
@@ -49,41 +49,41 @@
 	}
 }
 
-// Store keeps the view. Readers load it without a lock; the watch, or a peer that has seen a higher
-// revision, replaces it. A lower revision never replaces a higher one.
+// Store holds the current view. Readers load it without a lock; updates from the watch or from a peer with a newer
+// configuration replace it. An older configuration never replaces a newer one.
 type Store struct {
 	view atomic.Pointer[View]
 
 	mu   sync.Mutex
 	next *View
-	// asOf is the version up to which no change is missing; confirmed is when that was last learnt.
+	// asOf is the version up to which the view includes all changes; confirmed is the time of the last confirmation.
 	asOf      uint64
 	confirmed time.Time
-	// raw holds the objects as stored, for peers that can't reach the object API.
+	// raw holds the objects as stored, for peers that cannot reach the object API.
 	raw     map[string]objectapi.Object
 	changed chan struct{}
 	// loaded is closed once the configuration has been read for the first time.
 	loaded chan struct{}
 }
 
-// NewStore returns a store without configuration.
+// NewStore returns a Store with an empty view.
 func NewStore() *Store {
 	s := &Store{raw: map[string]objectapi.Object{}, changed: make(chan struct{}), loaded: make(chan struct{})}
 	s.view.Store(newView())
 	return s
 }
 
-// View returns the present view. It must not be changed.
+// View returns the current view, which must not be modified.
 func (s *Store) View() *View { return s.view.Load() }
 
-// Fresh tells whether the view was confirmed, by the object API or a peer, within maxAge.
+// Fresh reports whether the object API or a peer confirmed the view within the last maxAge.
 func (s *Store) Fresh(maxAge time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.confirmed.IsZero() && time.Since(s.confirmed) <= maxAge
 }
 
-// AsOf returns the object API's version up to which the view misses no change. A change is in force here
+// AsOf returns the object API version up to which the view includes all changes. A change is in force at this daemon
 // once AsOf has reached its version.
 func (s *Store) AsOf() uint64 {
 	s.mu.Lock()
@@ -104,8 +104,8 @@
 // Prefix implements watch.Handler.
 func (s *Store) Prefix() string { return keyspace.Config }
 
-// Reset implements watch.Handler. A list older than the present view is ignored: a stale read must not
-// bring old rules back.
+// Reset implements watch.Handler. It ignores a list older than AsOf, so that a stale read does not restore an old
+// configuration.
 func (s *Store) Reset(objects []objectapi.Object, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +193,7 @@
 	}
 }
 
-// confirm puts what was changed in force.
+// confirm publishes the pending view, if any, and records the version and time of the confirmation.
 func (s *Store) confirm(version uint64) {
 	if s.confirmed.IsZero() {
 		close(s.loaded)
@@ -212,7 +212,7 @@
 // SourceUnavailable implements watch.Handler.
 func (s *Store) SourceUnavailable() {}
 
-// Export returns the configuration as stored, for a peer that can't reach the object API.
+// Export returns the configuration as stored, for a peer that cannot reach the object API.
 func (s *Store) Export() objectapi.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,9 +223,9 @@
 	return snapshot
 }
 
-// ConfirmByPeer takes the word of a peer whose configuration is fresh: its last change is at revision, and
-// it misses nothing up to asOf. It returns false when this daemon's view misses that change; the peer's
-// Export should then be imported.
+// ConfirmByPeer confirms the view against a peer's fresh configuration, whose last change is at revision and which
+// includes all changes up to asOf. It returns false if this daemon's view misses that change; the caller should then
+// import the peer's Export.
 func (s *Store) ConfirmByPeer(revision, asOf uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,7 +236,7 @@
 	return true
 }
 
-// Import takes a peer's export if it is newer than the present view.
+// Import replaces the view with a peer's export if the export is newer.
 func (s *Store) Import(snapshot objectapi.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
