--- a/internal/rookpassd/settings/settings.go
+++ b/internal/rookpassd/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a daemon's settings: JSON with comments and trailing commas. They hold what differs
-// between daemons; everything else is configuration in the object API.
+// Package settings reads a daemon's settings file: JSON with comments and trailing commas. Configuration shared by all
+// daemons is stored in the object API instead.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Settings are a daemon's own. Durations are in milliseconds, sizes in bytes.
+// Settings holds the settings of one daemon. Durations are in milliseconds, sizes in bytes.
 type Settings struct {
 	// Name is unique among daemons: lower-case letters, digits and '-'.
 	Name string `json:"name" validate:"required,max=63,hostname_rfc1123" help:"unique name of this daemon"`
@@ -31,7 +31,7 @@
 	PeerAddress string `json:"peer_address" validate:"required,ipport" help:"IP:port for other daemons' control calls (net/rpc)"`
 	// ForwardAddress serves calls that other daemons forward, over gRPC.
 	ForwardAddress string `json:"forward_address" validate:"required,ipport" help:"IP:port for forwarded calls (gRPC)"`
-	// ObjectAPIAddress is the platform's object API.
+	// ObjectAPIAddress is the address of the platform's object API.
 	ObjectAPIAddress string `json:"object_api_address" validate:"required,ipport" help:"IP:port of the object API"`
 	// OperatorSecretHash is the SHA-256, in hex, of the secret of the built-in operator "root".
 	OperatorSecretHash string `json:"operator_secret_hash" validate:"required,len=64,hexadecimal" help:"SHA-256 in hex of the secret of the operator 'root'"`
@@ -45,39 +45,39 @@
 	Partitions uint32 `json:"partitions" validate:"min=1,max=65536" help:"partitions of the cluster; can't be changed later"`
 	// LeaseTTLMillis is the lease's time to live.
 	LeaseTTLMillis int64 `json:"lease_ttl_ms" validate:"min=1000,max=600000" help:"time to live of the daemon's lease, ms"`
-	// WatchPaceMillis is the least time between two watch calls.
+	// WatchPaceMillis is the minimum time between two watch calls.
 	WatchPaceMillis int64 `json:"watch_pace_ms" validate:"min=0,max=10000" help:"least time between two watch calls to the object API, ms"`
-	// WritesPerSecond is this daemon's share of the object API's writes.
+	// WritesPerSecond limits this daemon's writes to the object API.
 	WritesPerSecond float64 `json:"writes_per_second" validate:"gt=0,max=100000" help:"this daemon's share of the object API's writes, 1/s"`
-	// MaxPendingBytes bounds what waits in memory while the object API is away.
+	// MaxPendingBytes bounds the log records in memory that are not durable yet.
 	MaxPendingBytes int `json:"max_pending_bytes" validate:"min=1048576" help:"bound on undurable records in memory, bytes"`
-	// MaxConfigAgeMillis is how long the daemon serves without a sign that its configuration is current.
+	// MaxConfigAgeMillis is how long the daemon accepts new work after the last confirmation of its configuration.
 	MaxConfigAgeMillis int64 `json:"max_config_age_ms" validate:"min=1000" help:"new work is refused when the configuration is older, ms"`
-	// CheckpointSegments is how many log segments a recovery may have to read.
+	// CheckpointSegments is the number of log segments after which a partition is checkpointed.
 	CheckpointSegments uint64 `json:"checkpoint_segments" validate:"min=8" help:"log segments after which a partition is checkpointed"`
-	// RetentionMillis is how long an ended program's answers are kept.
+	// RetentionMillis is how long an ended program's answers are retained.
 	RetentionMillis int64 `json:"retention_ms" validate:"min=1000" help:"how long an ended program can be read, ms"`
-	// DrainTimeoutMillis bounds a planned stop.
+	// DrainTimeoutMillis bounds the duration of a planned stop.
 	DrainTimeoutMillis int64 `json:"drain_timeout_ms" validate:"min=0" help:"longest planned stop, ms"`
 
 	// LogLevel is debug, info, warning or error.
 	LogLevel string `json:"log_level" validate:"oneof=debug info warning error" help:"debug, info, warning or error"`
-	// TraceFile gets spans as JSON lines; empty turns it off.
+	// TraceFile is the file to which spans are written as JSON lines; empty disables it.
 	TraceFile string `json:"trace_file" help:"file for spans as JSON lines; empty for none"`
-	// OTLPAddress gets spans over OTLP; empty turns it off.
+	// OTLPAddress is the address to which spans are exported over OTLP; empty disables it.
 	OTLPAddress string `json:"otlp_address" validate:"omitempty,ipport" help:"IP:port of an OTLP collector (gRPC); empty for none"`
 }
 
-// TLS names PEM files.
+// TLS holds the paths of PEM files.
 type TLS struct {
-	// CA signs the certificates of daemons.
+	// CA is the certificate of the authority that signs daemons' certificates.
 	CA string `json:"ca" help:"PEM file of the authority for daemons"`
-	// Certificate and Key are this daemon's.
+	// Certificate and Key are this daemon's certificate and private key.
 	Certificate string `json:"certificate" help:"PEM file of this daemon's certificate"`
 	Key         string `json:"key" help:"PEM file of this daemon's key"`
 }
 
-// Default returns the settings that a file need not name.
+// Default returns the default values of optional settings.
 func Default() Settings {
 	return Settings{
 		Partitions:         64,
@@ -93,13 +93,13 @@
 	}
 }
 
-// Problems lists everything that is wrong with a settings file.
+// Problems lists all errors in a settings file.
 type Problems []string
 
-// Error returns all problems, one a line.
+// Error returns all problems, one per line.
 func (p Problems) Error() string { return strings.Join(p, "\n") }
 
-// Load reads and checks a file. On a file that can be read but is wrong the error is Problems.
+// Load reads and validates a settings file. If the file is readable but invalid, the error is of type Problems.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a settings file. path only serves messages.
+// Parse parses and validates the text of a settings file. path is used only in messages.
 func Parse(path string, text []byte) (Settings, error) {
 	s := Default()
 	standard, err := hujson.Standardize(text)
@@ -131,11 +131,12 @@
 	return s, nil
 }
 
-// unknownKeys finds the keys that no field has. The standardised text keeps the lines of the original.
+// unknownKeys returns a problem for each key without a matching field. Line numbers are correct because the
+// standardised text has the same lines as the original.
 func unknownKeys(path string, text []byte, t reflect.Type, prefix string) Problems {
 	var object map[string]json.RawMessage
 	if json.Unmarshal(text, &object) != nil {
-		return nil // The decoder reports what is wrong.
+		return nil // The decoder reports the error.
 	}
 	fields := map[string]reflect.StructField{}
 	for field := range t.Fields() {
@@ -159,7 +160,7 @@
 	return 1 + bytes.Count(before, []byte("\n"))
 }
 
-// check applies the rules of the validate tags, and those that concern several fields.
+// check applies the rules of the validate tags and the rules that involve several fields.
 func check(path string, s *Settings) Problems {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("json") })
@@ -171,7 +172,7 @@
 	var invalid validator.ValidationErrors
 	if errors.As(v.Struct(s), &invalid) {
 		for _, field := range invalid {
-			problems = append(problems, fmt.Sprintf("%s: %s: %s", path, field.Field(), rule(field)))
+			problems = append(problems, fmt.Sprintf("%s: %s: %s", path, field.Field(), describeViolation(field)))
 		}
 	}
 	if !s.Plaintext {
@@ -184,8 +185,8 @@
 	return problems
 }
 
-// rule says in words which rule a value breaks.
-func rule(field validator.FieldError) string {
+// describeViolation says in words which describeViolation a value breaks.
+func describeViolation(field validator.FieldError) string {
 	switch field.Tag() {
 	case "required":
 		return "required"
@@ -198,7 +199,7 @@
 	}
 }
 
-// Describe returns a settings file with every key, its default and what it means.
+// Describe returns a settings file with every key, its default value and a comment that explains it.
 func Describe() string {
 	var out strings.Builder
 	out.WriteString("{\n")
--- a/internal/rookpassd/settings/settings_test.go
+++ b/internal/rookpassd/settings/settings_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, s.Partitions, uint32(64))
 }
 
-func TestEveryProblemIsNamed(t *testing.T) {
+func TestParseReportsEveryProblem(t *testing.T) {
 	text := strings.NewReplacer(
 		`"name": "d1"`, `"name": "D 1"`,
 		`"127.0.0.1:1"`, `"localhost:1"`,
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestBadText(t *testing.T) {
+func TestParseRejectsMalformedText(t *testing.T) {
 	for _, row := range []struct{ name, text, want string }{
 		{"no object", `[]`, "f"},
 		{"cut off", `{"name": `, "f: "},
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestDescribeIsValidOnceFilledIn(t *testing.T) {
+func TestDescribeLacksOnlyRequiredValues(t *testing.T) {
 	_, err := settings.Parse("f", []byte(settings.Describe()))
 	for problem := range strings.SplitSeq(err.Error(), "\n") {
 		assert.Assert(t, strings.Contains(problem, "required"), "%s", problem)
@@ -67,7 +67,7 @@
 	f.Add([]byte(`{"tls": {"ca": 1}, "tls": []}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if _, err := settings.Parse("f", text); err != nil && err.Error() == "" {
-			t.Error("an error without a word")
+			t.Error("Parse returned an error with an empty message")
 		}
 	})
 }
