--- a/internal/rookpassd/auth/auth.go
+++ b/internal/rookpassd/auth/auth.go
@@ -1,5 +1,5 @@
-// Package auth checks the secrets of callers and operators. Secrets are random and at least MinSecretBytes
-// long; they are stored as internal/base/secret says.
+// Package auth authenticates callers and operators by their secrets. Secrets are random and at least MinSecretBytes
+// long; they are stored as the hashes of internal/base/secret.
 package auth
 
 import (
@@ -14,18 +14,18 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/config"
 )
 
-// MinSecretBytes is the least length of a secret.
+// MinSecretBytes is the minimum length of a secret.
 const MinSecretBytes = 32
 
-// randomBytes of a new secret.
-const randomBytes = 32
+// secretRandomBytes is the number of random bytes in a new secret.
+const secretRandomBytes = 32
 
-// RootOperator is the operator whose secret stands in the daemons' settings.
+// RootOperator is the built-in operator, whose secret hash is in the daemons' settings.
 const RootOperator = "root"
 
 // NewSecret returns a new secret and its hash.
 func NewSecret() (text, hash string) {
-	random := make([]byte, randomBytes)
+	random := make([]byte, secretRandomBytes)
 	_, _ = rand.Read(random) // crypto/rand.Read never fails.
 	text = base64.RawURLEncoding.EncodeToString(random)
 	return text, Hash(text)
@@ -34,11 +34,11 @@
 // Hash returns the stored form of a secret.
 func Hash(text string) string { return secret.HashOf(text).Hex() }
 
-// Header returns the authorization header of a name and secret.
+// Header returns the authorization header for a name and secret.
 func Header(name, secret string) string { return "Bearer " + name + ":" + secret }
 
-// split takes an authorization header apart.
-func split(header string) (name, secret string, err error) {
+// parseHeader returns the name and secret in an authorization header.
+func parseHeader(header string) (name, secret string, err error) {
 	token, bearer := strings.CutPrefix(header, "Bearer ")
 	name, secret, colon := strings.Cut(token, ":")
 	if !bearer || !colon || name == "" || len(secret) < MinSecretBytes {
@@ -47,12 +47,12 @@
 	return name, secret, nil
 }
 
-// errDenied is the same for an unknown name and a wrong secret.
+// errDenied is returned for unknown names and wrong secrets alike, so that it does not reveal which names exist.
 var errDenied = verdict.Refuse(verdict.Unauthenticated, "name or secret is wrong")
 
-// Caller returns the organisation that an authorization header proves.
+// Caller returns the organisation that an authorization header authenticates.
 func Caller(view *config.View, header string) (string, error) {
-	name, secret, err := split(header)
+	name, secret, err := parseHeader(header)
 	if err != nil {
 		return "", err
 	}
@@ -62,10 +62,10 @@
 	return name, nil
 }
 
-// Operator returns the operator and role that an authorization header proves. rootHash is the stored secret
-// of the built-in operator.
+// Operator returns the operator that an authorization header authenticates, and its role. rootHash is the hash of the
+// root operator's secret.
 func Operator(view *config.View, rootHash, header string) (string, rookpassv1.Role, error) {
-	name, secret, err := split(header)
+	name, secret, err := parseHeader(header)
 	if err != nil {
 		return "", 0, err
 	}
@@ -82,7 +82,7 @@
 	return name, account.Role, nil
 }
 
-// matches compares in constant time.
+// matches reports whether one of the hashes is that of secret. It compares in constant time.
 func matches(secret string, hashes []string) bool {
 	hash := []byte(Hash(secret))
 	found := 0
