--- a/internal/rookpassd/settings/settings.go
+++ b/internal/rookpassd/settings/settings.go
@@ -185,7 +185,7 @@
 	return problems
 }
 
-// describeViolation says in words which describeViolation a value breaks.
+// describeViolation returns a message for a value that breaks a validation rule.
 func describeViolation(field validator.FieldError) string {
 	switch field.Tag() {
 	case "required":
