--- a/internal/rookpassd/admin/admin.go
+++ b/internal/rookpassd/admin/admin.go
@@ -1,4 +1,4 @@
-// Package admin serves the operators' interface: configuration objects, status and planned stops.
+// Package admin implements the operators' gRPC service: configuration objects, status and planned stops.
 package admin
 
 import (
@@ -22,31 +22,31 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/peer"
 )
 
-// probeTimeout bounds a question to one daemon.
+// probeTimeout bounds a probe of one daemon.
 const probeTimeout = time.Second
 
-// apiRetry is when to come back while the object API does not answer.
-const apiRetry = 2 * time.Second
+// apiRetryAfter is the retry delay in refusals while the object API or a daemon does not answer.
+const apiRetryAfter = 2 * time.Second
 
-// Peers asks other daemons; *peer.Client implements it.
+// Peers sends requests to other daemons; *peer.Client implements it.
 type Peers interface {
 	Probe(ctx context.Context, address, incarnation string) (peer.ProbeReply, error)
 	Drain(ctx context.Context, address string) error
 }
 
-// Backends tells about backend servers; *backend.Runner implements it.
+// Backends reports the status of backend servers; *backend.Runner implements it.
 type Backends interface {
 	Status() []*rookpassv1.BackendStatus
 }
 
-// Dependencies of a Server.
+// Dependencies holds what a Server uses.
 type Dependencies struct {
 	API      objectapi.API
 	Config   *config.Store
 	Tracker  *cluster.Tracker
 	Peers    Peers
 	Backends Backends
-	// RootHash is the stored secret of the built-in operator.
+	// RootHash is the hash of the root operator's secret.
 	RootHash string
 	Log      logrus.FieldLogger
 }
@@ -57,10 +57,10 @@
 	Dependencies
 }
 
-// New returns a server.
+// New returns a Server with the given dependencies.
 func New(deps Dependencies) *Server { return &Server{Dependencies: deps} }
 
-// authorize proves the operator. write asks for the admin role.
+// authorize authenticates the operator and returns its name. It requires the admin role if write is set.
 func (s *Server) authorize(ctx context.Context, write bool) (string, error) {
 	name, role, err := auth.Operator(s.Config.View(), s.RootHash, entry.Authorization(ctx))
 	if err != nil {
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	key, _ := config.Key(req.Object.Key)
-	// The version is the object API's own and not part of what is stored.
+	// The version is assigned by the object API and not part of the stored value.
 	stored := &rookpassv1.Object{Key: req.Object.Key, Spec: req.Object.Spec}
 	value, err := protojson.Marshal(stored)
 	if err != nil {
@@ -104,7 +104,8 @@
 	return stored, nil
 }
 
-// write puts a value and finds out what happened when the answer is lost or the version differs.
+// write puts a value. After an unknown outcome it reads the object to find out whether the write took effect; on a
+// conflict the error holds the current version.
 func (s *Server) write(ctx context.Context, key string, value []byte, ifVersion uint64) (objectapi.Object, error) {
 	written, err := s.API.Put(ctx, key, value, ifVersion)
 	if err == nil {
@@ -116,7 +117,7 @@
 	}
 	current, getErr := s.API.Get(ctx, key)
 	if unknown && (getErr != nil || string(current.Value) != string(value)) {
-		return objectapi.Object{}, verdict.Unknown(verdict.Lost, apiRetry, "the change may be in force: read the object")
+		return objectapi.Object{}, verdict.Unknown(verdict.Lost, apiRetryAfter, "the change may be in force: read the object")
 	}
 	if unknown {
 		return current, nil
@@ -133,9 +134,9 @@
 	case errors.Is(err, objectapi.ErrTooLarge):
 		return verdict.Refuse(verdict.Invalid, "object is too large")
 	case errors.Is(err, objectapi.ErrUnknownOutcome):
-		return verdict.Unknown(verdict.Lost, apiRetry, "the change may be in force: read the object")
+		return verdict.Unknown(verdict.Lost, apiRetryAfter, "the change may be in force: read the object")
 	default:
-		return verdict.RetryLater(verdict.Unavailable, apiRetry, "object API: %v", err)
+		return verdict.RetryLater(verdict.Unavailable, apiRetryAfter, "object API: %v", err)
 	}
 }
 
@@ -163,7 +164,7 @@
 func decode(stored objectapi.Object) (*rookpassv1.Object, error) {
 	object := &rookpassv1.Object{}
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(stored.Value, object); err != nil {
-		return nil, verdict.Refuse(verdict.Invalid, "%s is damaged: %v", stored.Key, err)
+		return nil, verdict.Refuse(verdict.Invalid, "%s is corrupt: %v", stored.Key, err)
 	}
 	object.Version = stored.Version
 	return object, nil
@@ -304,7 +305,7 @@
 			continue
 		}
 		if err := s.Peers.Drain(ctx, daemon.PeerAddress); err != nil {
-			return nil, verdict.GRPC(verdict.Unknown(verdict.Unavailable, apiRetry, "daemon %q: %v", req.Daemon, err))
+			return nil, verdict.GRPC(verdict.Unknown(verdict.Unavailable, apiRetryAfter, "daemon %q: %v", req.Daemon, err))
 		}
 		s.Log.WithFields(logrus.Fields{"event": "daemon.drain_asked", "operator": operator, "target": req.Daemon}).Info()
 		return &rookpassv1.DrainDaemonResponse{}, nil
--- a/internal/rookpassd/admin/validate.go
+++ b/internal/rookpassd/admin/validate.go
@@ -19,14 +19,14 @@
 	hashRule = regexp.MustCompile(`^[0-9a-fA-F]{64}$`)
 )
 
-// Validate checks an object and names everything that is wrong with it.
+// Validate checks an object and returns one error that lists all problems, or nil.
 func Validate(object *rookpassv1.Object) error {
 	v := &validation{}
 	if object == nil || object.Key == nil {
 		return verdict.Refuse(verdict.Invalid, "object or key is missing")
 	}
 	if _, known := config.Key(object.Key); !known {
-		v.wrong("kind is missing or unknown")
+		v.addProblem("kind is missing or unknown")
 	}
 	v.check(nameRule.MatchString(object.Key.Name), "name must be lower-case letters, digits and '-', 1 to 63")
 	v.check(object.Key.Name != auth.RootOperator || object.Key.Kind != rookpassv1.Kind_KIND_OPERATOR,
@@ -57,14 +57,14 @@
 	}
 }
 
-// validation gathers problems.
+// validation collects the problems of an object.
 type validation struct{ problems []string }
 
-func (v *validation) wrong(problem string) { v.problems = append(v.problems, problem) }
+func (v *validation) addProblem(problem string) { v.problems = append(v.problems, problem) }
 
 func (v *validation) check(holds bool, problem string) {
 	if !holds {
-		v.wrong(problem)
+		v.addProblem(problem)
 	}
 }
 
@@ -110,7 +110,7 @@
 	switch spec.Kind {
 	case rookpassv1.CallKind_CALL_KIND_MODEL, rookpassv1.CallKind_CALL_KIND_TOOL, rookpassv1.CallKind_CALL_KIND_PLAIN:
 	default:
-		v.wrong("kind of a backend server must be model, tool or plain")
+		v.addProblem("kind of a backend server must be model, tool or plain")
 	}
 }
 
