--- a/internal/rookpassd/client/client.go
+++ b/internal/rookpassd/client/client.go
@@ -1,4 +1,4 @@
-// Package client reaches rookpass as callers and operators do.
+// Package client implements the gRPC client of callers and operators.
 package client
 
 import (
@@ -28,13 +28,13 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("client")
 
-// Options of a Client.
+// Options configures a Client.
 type Options struct {
 	// Address is a daemon's IP:port, or the balancer's.
 	Address string
 	// CA is a PEM file; empty means plain text.
 	CA string
-	// Name and Secret prove an organisation or operator.
+	// Name and Secret authenticate an organisation or operator.
 	Name, Secret string
 	// Dial replaces TCP; for tests.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -44,12 +44,12 @@
 type Client struct {
 	conn   *grpc.ClientConn
 	header string
-	// Caller and Operator are the bare services.
+	// Caller and Operator are the generated gRPC clients; their calls need the context that Context returns.
 	Caller   rookpassv1.CallerClient
 	Operator rookpassv1.OperatorClient
 }
 
-// New returns a client. It connects at its first request.
+// New returns a Client, which connects at its first request.
 func New(options Options) (*Client, error) {
 	transport := insecure.NewCredentials()
 	if options.CA != "" {
@@ -87,40 +87,40 @@
 // Close ends the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// Context returns ctx with the client's proof.
+// Context returns ctx with the client's authorization header.
 func (c *Client) Context(ctx context.Context) context.Context {
 	return metadata.AppendToOutgoingContext(ctx, "authorization", c.header)
 }
 
-// Answer is the whole answer of a call.
+// Answer is the complete answer to a call.
 type Answer struct {
 	Output []byte
 	Final  *rookpassv1.CallFinal
 }
 
-// Call makes a call and gathers its answer. progress may be nil; it gets each chunk.
+// Call makes a call and returns its complete answer. progress receives each chunk; it may be nil.
 func (c *Client) Call(ctx context.Context, req *rookpassv1.CallRequest, progress func(*rookpassv1.CallChunk)) (Answer, error) {
 	ctx, flag := sent.Track(c.Context(ctx))
 	stream, err := c.Caller.Call(ctx, req)
 	if err != nil {
 		return Answer{}, flag.Error(err)
 	}
-	return gather(stream, flag, progress)
+	return receiveAnswer(stream, flag, progress)
 }
 
-// Resume gathers the answer of a call that is under way or finished.
+// Resume returns the complete answer to a call that is in flight or finished.
 func (c *Client) Resume(ctx context.Context, programID, requestID string) (Answer, error) {
 	ctx, flag := sent.Track(c.Context(ctx))
 	stream, err := c.Caller.Resume(ctx, &rookpassv1.ResumeRequest{ProgramId: programID, RequestId: requestID})
 	if err != nil {
 		return Answer{}, flag.Error(err)
 	}
-	return gather(stream, flag, nil)
+	return receiveAnswer(stream, flag, nil)
 }
 
-// gather puts the chunks together. A chunk below what was received replaces it from there: the call ran
-// again at another owner. An answer that is not whole is an error.
-func gather(stream grpc.ServerStreamingClient[rookpassv1.CallEvent], flag *sent.Flag, progress func(*rookpassv1.CallChunk)) (Answer, error) {
+// receiveAnswer assembles the chunks of an answer. A chunk at an offset already received replaces the data from there
+// on, since the call ran again at another owner. A truncated answer is an error.
+func receiveAnswer(stream grpc.ServerStreamingClient[rookpassv1.CallEvent], flag *sent.Flag, progress func(*rookpassv1.CallChunk)) (Answer, error) {
 	var answer Answer
 	for {
 		event, err := stream.Recv()
@@ -136,7 +136,7 @@
 			continue
 		}
 		if chunk.Offset > int64(len(answer.Output)) {
-			return answer, verdict.Unknown(verdict.Lost, 0, "a chunk is missing before offset %d", chunk.Offset)
+			return answer, verdict.Unknown(verdict.Lost, 0, "chunk missing before offset %d", chunk.Offset)
 		}
 		answer.Output = append(answer.Output[:chunk.Offset], chunk.Data...)
 		if progress != nil {
@@ -144,16 +144,16 @@
 		}
 	}
 	if answer.Final == nil || answer.Final.Length != int64(len(answer.Output)) {
-		return answer, verdict.Unknown(verdict.Lost, 0, "the answer is not whole")
+		return answer, verdict.Unknown(verdict.Lost, 0, "answer is incomplete")
 	}
 	return answer, nil
 }
 
-// maxPause bounds the time between a caller's attempts.
-const maxPause = 5 * time.Second
+// maxRetryDelay bounds the time between attempts of CallUntil.
+const maxRetryDelay = 5 * time.Second
 
-// CallUntil repeats a call with the same request id until it is answered, refused for good, or ctx ends. It
-// waits as long as each refusal says.
+// CallUntil retries a call with the same request ID until it is answered, fails without a retry delay, or ctx ends.
+// Between attempts it waits for the delay in the error, up to maxRetryDelay.
 func (c *Client) CallUntil(ctx context.Context, req *rookpassv1.CallRequest, progress func(*rookpassv1.CallChunk)) (Answer, error) {
 	for {
 		answer, err := c.Call(ctx, req, progress)
@@ -164,7 +164,7 @@
 		if typed.RetryAfter == 0 || ctx.Err() != nil {
 			return answer, err
 		}
-		if wait.For(ctx, min(typed.RetryAfter, maxPause)) != nil {
+		if wait.For(ctx, min(typed.RetryAfter, maxRetryDelay)) != nil {
 			return answer, err
 		}
 	}
