--- a/internal/rookpassd/cli/cli.go
+++ b/internal/rookpassd/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of operators and callers.
+// Package cli implements the command-line tool of operators and callers.
 package cli
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/client"
 )
 
-// Exit codes. A script can tell from them whether a request may have run.
+// Exit codes of Run. They tell scripts whether a request may have run.
 const (
 	ExitOK         = 0
 	ExitFailed     = 1
@@ -25,7 +25,7 @@
 	ExitConflict   = 5
 )
 
-// globals are the options of every command.
+// globals holds the options common to all commands.
 type globals struct {
 	Address string        `long:"address" env:"ROOKPASS_ADDRESS" default:"127.0.0.1:7100" description:"IP:port of a daemon"`
 	CA      string        `long:"ca" env:"ROOKPASS_CA" description:"PEM file of the daemons' authority; plain text without"`
@@ -35,14 +35,14 @@
 	Timeout time.Duration `long:"timeout" default:"30s" description:"bound on the whole command"`
 }
 
-// app is what the commands share.
+// app holds the common options and the output streams of all commands.
 type app struct {
 	globals
 	out io.Writer
 	err io.Writer
 }
 
-// connect returns a client and the context of the command.
+// connect returns a client, the command's context and a function that releases both.
 func (a *app) connect() (*client.Client, context.Context, context.CancelFunc, error) {
 	c, err := client.New(client.Options{Address: a.Address, CA: a.CA, Name: a.Name, Secret: a.Secret})
 	if err != nil {
@@ -56,15 +56,15 @@
 	return c, ctx, done, nil
 }
 
-// badInput marks errors in what the person gave.
-type badInput struct{ err error }
+// usageError marks errors in arguments and input files.
+type usageError struct{ err error }
 
-func (e badInput) Error() string { return e.err.Error() }
-func (e badInput) Unwrap() error { return e.err }
+func (e usageError) Error() string { return e.err.Error() }
+func (e usageError) Unwrap() error { return e.err }
 
-func badInputf(format string, args ...any) error { return badInput{fmt.Errorf(format, args...)} }
+func usageErrorf(format string, args ...any) error { return usageError{fmt.Errorf(format, args...)} }
 
-// command adds a command to the parser. A command implements flags.Commander.
+// command describes a command that Run adds to the parser.
 type command struct {
 	name, short string
 	data        flags.Commander
@@ -113,12 +113,12 @@
 	}
 }
 
-// fail shows an error and returns its exit code.
+// fail prints an error and returns its exit code.
 func (a *app) fail(err error) int {
 	if err == nil {
 		return ExitOK
 	}
-	var bad badInput
+	var bad usageError
 	if errors.As(err, &bad) || errors.Is(err, os.ErrNotExist) {
 		_, _ = fmt.Fprintln(a.err, "rookpass:", err)
 		return ExitBadInput
@@ -130,7 +130,7 @@
 	}
 	_, _ = fmt.Fprintln(a.err, "rookpass:", typed)
 	if typed.RetryAfter > 0 {
-		_, _ = fmt.Fprintf(a.err, "rookpass: come back after %v\n", typed.RetryAfter)
+		_, _ = fmt.Fprintf(a.err, "rookpass: retry after %v\n", typed.RetryAfter)
 	}
 	switch {
 	case typed.Code == verdict.Conflict:
--- a/internal/rookpassd/cli/objects.go
+++ b/internal/rookpassd/cli/objects.go
@@ -30,7 +30,7 @@
 	if kind, known := kinds[name]; known {
 		return kind, nil
 	}
-	return 0, badInputf("kind %q is not one of: organisation, definition, backend, operator", name)
+	return 0, usageErrorf("kind %q is not one of: organisation, definition, backend, operator", name)
 }
 
 func kindName(kind rookpassv1.Kind) string {
@@ -44,15 +44,15 @@
 
 func objectName(key *rookpassv1.ObjectKey) string { return kindName(key.Kind) + "/" + key.Name }
 
-// waitOption asks to wait until a change is in force everywhere.
+// waitOption is the option to wait until a change is in force on every daemon.
 type waitOption struct {
 	Wait bool `long:"wait" description:"wait until the change is in force on every daemon"`
 }
 
-// waitPoll is how often the daemons are asked.
+// waitPoll is the interval between polls of the daemons' revisions.
 const waitPoll = 100 * time.Millisecond
 
-// await returns once a revision is in force everywhere.
+// await waits until a revision is in force on every daemon, if the option is set.
 func (w waitOption) await(ctx context.Context, a *app, c *client.Client, revision uint64) error {
 	if !w.Wait {
 		return nil
@@ -75,7 +75,7 @@
 		select {
 		case <-time.After(waitPoll):
 		case <-ctx.Done():
-			return fmt.Errorf("in force on %d of %d daemons when the time was over", inForce, len(response.Daemons))
+			return fmt.Errorf("in force on %d of %d daemons when the timeout expired", inForce, len(response.Daemons))
 		}
 	}
 }
@@ -86,8 +86,8 @@
 	waitOption
 }
 
-// Execute checks all files before it changes anything. Objects without a version are created, or replace the
-// version that stands; objects with one replace only that.
+// Execute parses all files before it changes anything. An object without a version is created or replaces the current
+// version; an object with a version replaces only that version.
 func (c *applyCommand) Execute([]string) error {
 	var objects []*rookpassv1.Object
 	for _, file := range c.Files {
@@ -129,23 +129,23 @@
 	}
 	written, err := conn.Operator.Put(conn.Context(ctx), &rookpassv1.PutRequest{Object: object, IfVersion: version})
 	if err != nil {
-		return 0, c.explain(ctx, conn, object, version, verdict.FromGRPC(err))
+		return 0, c.showConflict(ctx, conn, object, version, verdict.FromGRPC(err))
 	}
 	return written.Version, c.printf("%s at version %d\n", objectName(object.Key), written.Version)
 }
 
-// specOf returns an object without its version, to compare.
+// specOf returns an object without its version, for comparison.
 func specOf(object *rookpassv1.Object) *rookpassv1.Object {
 	return &rookpassv1.Object{Key: object.Key, Spec: object.Spec}
 }
 
-// explain shows both versions of a conflict.
-func (c *applyCommand) explain(ctx context.Context, conn *client.Client, object *rookpassv1.Object, version uint64, refusal *verdict.Error) error {
+// showConflict prints both versions of a conflict. It returns refusal.
+func (c *applyCommand) showConflict(ctx context.Context, conn *client.Client, object *rookpassv1.Object, version uint64, refusal *verdict.Error) error {
 	if refusal.Code != verdict.Conflict {
 		return refusal
 	}
 	if current, err := conn.Operator.Get(conn.Context(ctx), object.Key); err == nil {
-		_ = c.printf("conflict on %s: you changed version %d, version %d stands:\n", objectName(object.Key), version, current.Version)
+		_ = c.printf("conflict on %s: version %d was edited, but the current version is %d:\n", objectName(object.Key), version, current.Version)
 		_ = c.message(current)
 		_ = c.printf("yours:\n")
 		_ = c.message(object)
@@ -153,7 +153,7 @@
 	return refusal
 }
 
-// readObjects reads one object or a list from a file.
+// readObjects reads an object or a list of objects from a file.
 func readObjects(file string) ([]*rookpassv1.Object, error) {
 	text, err := readFile(file)
 	if err != nil {
@@ -161,22 +161,22 @@
 	}
 	standard, err := hujson.Standardize(text)
 	if err != nil {
-		return nil, badInputf("%s: %v", file, err)
+		return nil, usageErrorf("%s: %v", file, err)
 	}
 	items := []json.RawMessage{standard}
 	if bytes.HasPrefix(bytes.TrimSpace(standard), []byte("[")) {
 		if err := json.Unmarshal(standard, &items); err != nil {
-			return nil, badInputf("%s: %v", file, err)
+			return nil, usageErrorf("%s: %v", file, err)
 		}
 	}
 	objects := make([]*rookpassv1.Object, len(items))
 	for i, item := range items {
 		objects[i] = &rookpassv1.Object{}
 		if err := protojson.Unmarshal(item, objects[i]); err != nil {
-			return nil, badInputf("%s: object %d: %v", file, i+1, err)
+			return nil, usageErrorf("%s: object %d: %v", file, i+1, err)
 		}
 		if objects[i].Key == nil {
-			return nil, badInputf("%s: object %d has no key", file, i+1)
+			return nil, usageErrorf("%s: object %d has no key", file, i+1)
 		}
 	}
 	return objects, nil
@@ -189,7 +189,7 @@
 	return os.ReadFile(file)
 }
 
-// objectArgs name an object.
+// objectArgs holds the arguments that identify an object.
 type objectArgs struct {
 	Kind string `positional-arg-name:"kind" description:"organisation, definition, backend or operator"`
 	Name string `positional-arg-name:"name"`
@@ -200,7 +200,7 @@
 	Args objectArgs `positional-args:"true" required:"true"`
 }
 
-// Execute shows the object as it stands in the object API.
+// Execute prints the object stored in the object API.
 func (c *getCommand) Execute([]string) error {
 	kind, err := kindOf(c.Args.Kind)
 	if err != nil {
@@ -225,7 +225,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute lists the objects as they stand in the object API.
+// Execute lists the objects stored in the object API.
 func (c *listCommand) Execute([]string) error {
 	kind, err := kindOf(c.Args.Kind)
 	if err != nil {
@@ -250,7 +250,7 @@
 	return c.table([]string{"NAME", "VERSION", "SUMMARY"}, rows)
 }
 
-// summary returns what matters most of an object.
+// summary returns a one-line summary of an object.
 func summary(object *rookpassv1.Object) string {
 	switch spec := object.Spec.(type) {
 	case *rookpassv1.Object_Organisation:
@@ -278,7 +278,7 @@
 	waitOption
 }
 
-// Execute deletes the object if it is still at the version.
+// Execute deletes the object if it is still at the given version.
 func (c *deleteCommand) Execute([]string) error {
 	kind, err := kindOf(c.Args.Kind)
 	if err != nil {
@@ -310,10 +310,10 @@
 	waitOption
 }
 
-// Execute stops a daemon as planned, or sends no new work to a backend server.
+// Execute begins a daemon's planned stop, or marks a backend server as draining (or not, with Undo).
 func (c *drainCommand) Execute([]string) error {
 	if c.Args.What != "daemon" && c.Args.What != "backend" {
-		return badInputf("%q is not one of: daemon, backend", c.Args.What)
+		return usageErrorf("%q is not one of: daemon, backend", c.Args.What)
 	}
 	conn, ctx, done, err := c.connect()
 	if err != nil {
@@ -346,7 +346,7 @@
 	*app `no-flag:"true"`
 }
 
-// Execute shows the cluster as the asked daemon sees it.
+// Execute prints the cluster's state as seen by the daemon that answers.
 func (c *statusCommand) Execute([]string) error {
 	conn, ctx, done, err := c.connect()
 	if err != nil {
--- a/internal/rookpassd/cli/output.go
+++ b/internal/rookpassd/cli/output.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// message shows a message as JSON.
+// message prints a protobuf message as JSON.
 func (a *app) message(m proto.Message) error {
 	encoded, err := protojson.MarshalOptions{Multiline: true, Indent: "  ", UseProtoNames: true}.Marshal(m)
 	if err != nil {
@@ -20,14 +20,14 @@
 	return err
 }
 
-// value shows any other value as JSON.
+// value prints v as JSON.
 func (a *app) value(v any) error {
 	encoder := json.NewEncoder(a.out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(v)
 }
 
-// table shows rows under a heading.
+// table prints rows under a heading in aligned columns.
 func (a *app) table(heading []string, rows [][]string) error {
 	writer := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(writer, strings.Join(heading, "\t")); err != nil {
@@ -41,7 +41,7 @@
 	return writer.Flush()
 }
 
-// printf shows a line.
+// printf prints formatted text to the command's output.
 func (a *app) printf(format string, args ...any) error {
 	_, err := fmt.Fprintf(a.out, format, args...)
 	return err
--- a/internal/rookpassd/cli/programs.go
+++ b/internal/rookpassd/cli/programs.go
@@ -24,7 +24,7 @@
 	if kind, known := callKinds[name]; known {
 		return kind, nil
 	}
-	return 0, badInputf("call kind %q is not one of: model, tool, plain, sub-agent", name)
+	return 0, usageErrorf("call kind %q is not one of: model, tool, plain, sub-agent", name)
 }
 
 func callKindName(kind rookpassv1.CallKind) string {
@@ -36,11 +36,11 @@
 	return kind.String()
 }
 
-// startOptions describe a program to start.
+// startOptions holds the options of a program to start.
 type startOptions struct {
 	Definition string `long:"definition" required:"true" description:"program definition"`
 	Key        string `long:"key" required:"true" description:"idempotency key"`
-	Budget     int64  `long:"budget" description:"budget in tokens; the definition's without"`
+	Budget     int64  `long:"budget" description:"budget in tokens (default: the definition's)"`
 	Priority   int32  `long:"priority" description:"priority, 0 to 9"`
 }
 
@@ -55,7 +55,7 @@
 	startOptions
 }
 
-// Execute starts the program, or shows the one started with the key.
+// Execute starts a program, or finds the one started with the same key, and prints it.
 func (c *startCommand) Execute([]string) error {
 	conn, ctx, done, err := c.connect()
 	if err != nil {
@@ -72,7 +72,7 @@
 	return c.printf("%s\n", program.Id)
 }
 
-// step is one call, in the options of call and in the files of run.
+// step describes one call, in the options of the call command and in the files of the run command.
 type step struct {
 	Kind        string `long:"kind" default:"model" description:"model, tool, plain or sub-agent" json:"kind"`
 	Target      string `long:"target" required:"true" description:"model, service or definition" json:"target"`
@@ -80,7 +80,7 @@
 	MaxTokens   int64  `long:"max-tokens" description:"bound on generated tokens" json:"max_tokens"`
 	Idempotent  bool   `long:"idempotent" description:"the call may be repeated" json:"idempotent"`
 	ChildBudget int64  `long:"child-budget" description:"budget of a sub-agent, in tokens" json:"child_budget"`
-	// Steps are a sub-agent's own, in files only.
+	// Steps are the steps of a sub-agent; they are set only in files.
 	Steps []step `json:"steps"`
 }
 
@@ -98,12 +98,12 @@
 type callCommand struct {
 	*app      `no-flag:"true"`
 	Program   string `long:"program" required:"true" description:"program id"`
-	Sequence  uint64 `long:"sequence" description:"sequence of the call; the program's next without"`
-	RequestID string `long:"request-id" description:"request id; derived from the sequence without"`
+	Sequence  uint64 `long:"sequence" description:"sequence of the call (default: the program's next)"`
+	RequestID string `long:"request-id" description:"request id (default: derived from the sequence)"`
 	step
 }
 
-// Execute makes the call and shows its answer.
+// Execute makes the call and prints its answer.
 func (c *callCommand) Execute([]string) error {
 	conn, ctx, done, err := c.connect()
 	if err != nil {
@@ -158,7 +158,7 @@
 	RequestID string `long:"request-id" required:"true" description:"request id of the call"`
 }
 
-// Execute follows a call that is under way, or shows a finished one's answer.
+// Execute waits for a call in flight or finished, and prints its answer.
 func (c *resumeCommand) Execute([]string) error {
 	conn, ctx, done, err := c.connect()
 	if err != nil {
@@ -172,7 +172,7 @@
 	return c.showAnswer(answer)
 }
 
-// script is a file for run.
+// script is the content of a file for the run command.
 type script struct {
 	Definition string `json:"definition"`
 	Key        string `json:"key"`
@@ -184,12 +184,12 @@
 type runCommand struct {
 	*app `no-flag:"true"`
 	File string `short:"f" long:"file" required:"true" description:"program of steps (JSON with comments)"`
-	Key  string `long:"key" description:"idempotency key; the file's without"`
+	Key  string `long:"key" description:"idempotency key (default: the file's)"`
 	Keep bool   `long:"keep" description:"do not end the program"`
 }
 
-// Execute runs the steps in order. Run again with the same key, it goes on where it stopped: finished calls
-// answer from the program's history.
+// Execute runs the steps in order. When repeated with the same key it continues where it stopped: finished calls are
+// answered from the program's history.
 func (c *runCommand) Execute([]string) error {
 	s, err := readScript(c.File)
 	if err != nil {
@@ -225,7 +225,7 @@
 	return c.printf("program %s ended\n", program.Id)
 }
 
-// runSteps makes a program's calls; a sub-agent's steps run before the next of its parent.
+// runSteps makes a program's calls in order; a sub-agent's steps run before the next step of its parent.
 func (c *runCommand) runSteps(ctx context.Context, conn *client.Client, programID string, steps []step) error {
 	for i, s := range steps {
 		sequence := uint64(i + 1)
@@ -265,17 +265,17 @@
 	}
 	standard, err := hujson.Standardize(text)
 	if err != nil {
-		return s, badInputf("%s: %v", file, err)
+		return s, usageErrorf("%s: %v", file, err)
 	}
 	decoder := json.NewDecoder(strings.NewReader(string(standard)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&s); err != nil {
-		return s, badInputf("%s: %v", file, err)
+		return s, usageErrorf("%s: %v", file, err)
 	}
 	return s, nil
 }
 
-// programArg names a program.
+// programArg is the argument that identifies a program.
 type programArg struct {
 	Program string `positional-arg-name:"program"`
 }
@@ -285,7 +285,7 @@
 	Args programArg `positional-args:"true" required:"true"`
 }
 
-// Execute shows the program with its history.
+// Execute prints the program and its history.
 func (c *showCommand) Execute([]string) error {
 	conn, ctx, done, err := c.connect()
 	if err != nil {
@@ -314,7 +314,7 @@
 	return c.table([]string{"SEQUENCE", "KIND", "TARGET", "VERDICT", "TOKENS", "INPUT", "OUTPUT"}, rows)
 }
 
-// shortBytes is how much of a text a table shows.
+// shortBytes is the maximum length of a text in a table, in bytes.
 const shortBytes = 40
 
 func shorten(text []byte) string {
@@ -354,7 +354,7 @@
 	RequestID  string `long:"request-id" required:"true" description:"a request that is not idempotent runs once for each"`
 }
 
-// Execute sends the request and shows the answer.
+// Execute sends the request and prints the response.
 func (c *sendCommand) Execute([]string) error {
 	conn, ctx, done, err := c.connect()
 	if err != nil {
--- a/internal/rookpassd/cli/tools.go
+++ b/internal/rookpassd/cli/tools.go
@@ -18,7 +18,7 @@
 	*app `no-flag:"true"`
 }
 
-// Execute shows a new random secret and the hash that configuration and settings hold.
+// Execute prints a new random secret and its hash for configuration objects and settings.
 func (c *secretCommand) Execute([]string) error {
 	secret, hash := auth.NewSecret()
 	if c.Output == "json" {
@@ -34,14 +34,14 @@
 	Addresses []string `long:"ip" default:"127.0.0.1" description:"IP address in the certificates; may be given again"`
 }
 
-// Execute makes an authority and a key for each daemon. They are for development: the authority's own key is
-// not kept.
+// Execute creates a certificate authority and a key for each daemon. They are for development only, since the
+// authority's private key is not kept.
 func (c *devKeysCommand) Execute([]string) error {
 	var addresses []net.IP
 	for _, text := range c.Addresses {
 		address := net.ParseIP(text)
 		if address == nil {
-			return badInputf("%q is not an IP address", text)
+			return usageErrorf("%q is not an IP address", text)
 		}
 		addresses = append(addresses, address)
 	}
@@ -57,7 +57,7 @@
 	Files     []string `short:"f" long:"file" required:"true" description:"trace file of a daemon; may be given again"`
 }
 
-// span is what trace files hold of a span, as far as it is shown.
+// span holds the fields of a span in a trace file that the command uses.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -92,7 +92,7 @@
 	return ""
 }
 
-// Execute shows every span of the traces in which the request id stands.
+// Execute prints all spans of the traces that contain the request ID.
 func (c *traceCommand) Execute([]string) error {
 	var spans []span
 	for _, file := range c.Files {
@@ -116,7 +116,7 @@
 	return c.showSpans(spans)
 }
 
-// showSpans shows spans as an indented list, children below their parents.
+// showSpans prints spans as an indented list, children below their parents.
 func (c *traceCommand) showSpans(spans []span) error {
 	children := map[string][]span{}
 	known := map[string]bool{}
@@ -146,7 +146,7 @@
 	return c.table([]string{"SPAN", "DAEMON", "TOOK", "TO"}, rows)
 }
 
-// maxSpanBytes bounds one line of a trace file.
+// maxSpanBytes is the maximum length of a line in a trace file.
 const maxSpanBytes = 1 << 20
 
 func readSpans(file string) ([]span, error) {
@@ -161,7 +161,7 @@
 	for number := 1; lines.Scan(); number++ {
 		var s span
 		if err := json.Unmarshal(lines.Bytes(), &s); err != nil {
-			return nil, badInputf("%s:%d: %v", file, number, err)
+			return nil, usageErrorf("%s:%d: %v", file, number, err)
 		}
 		spans = append(spans, s)
 	}
