--- a/internal/rookpassd/daemon/daemon.go
+++ b/internal/rookpassd/daemon/daemon.go
@@ -69,18 +69,18 @@
 type params struct {
 	dig.In
 
-	Settings  settings.Settings
-	Network   network.Network
-	Log       logrus.FieldLogger
-	Tracing   *telemetry.Tracing
-	Objects   *httpapi.Client
-	Relayed   *peer.FallbackAPI
-	Limiter   *rate.Limiter
-	Config    *config.Store
-	Tracker   *cluster.Tracker
-	Peers     *peer.Client
-	Forwarder *route.GRPCForwarder
-	Runner    *backend.Runner
+	Settings    settings.Settings
+	Network     network.Network
+	Log         logrus.FieldLogger
+	Tracing     *telemetry.Tracing
+	Objects     *httpapi.Client
+	FallbackAPI *peer.FallbackAPI
+	Limiter     *rate.Limiter
+	Config      *config.Store
+	Tracker     *cluster.Tracker
+	Peers       *peer.Client
+	Forwarder   *route.GRPCForwarder
+	Runner      *backend.Runner
 }
 
 // New returns a Daemon that does not run or listen yet. random is used for the names of incarnations and to seed their
@@ -116,11 +116,11 @@
 		tracing:   p.Tracing,
 		tracer:    p.Tracing.Tracer(),
 		objects:   p.Objects,
-		api:       p.Relayed,
+		api:       p.FallbackAPI,
 		limiter:   p.Limiter,
 		config:    p.Config,
 		tracker:   p.Tracker,
-		watcher:   watch.New(watch.NewSharedSource(p.Relayed), time.Duration(p.Settings.WatchPaceMillis)*time.Millisecond, p.Config, p.Tracker).WithLog(p.Log),
+		watcher:   watch.New(watch.NewSharedSource(p.FallbackAPI), time.Duration(p.Settings.WatchPaceMillis)*time.Millisecond, p.Config, p.Tracker).WithLog(p.Log),
 		peers:     p.Peers,
 		forwarder: p.Forwarder,
 		runner:    p.Runner,
--- a/internal/rookpassd/daemon/incarnation.go
+++ b/internal/rookpassd/daemon/incarnation.go
@@ -162,13 +162,13 @@
 // accepts it or answers verdict.Lost, for up to reportRetryTimeout.
 func (in *incarnation) Report(ctx context.Context, programID, executor string, outcome *peerv1.Record) (*rookpassv1.CallFinal, error) {
 	number := program.PartitionOf(programID, in.daemon.settings.Partitions)
-	giveUp := time.Now().Add(reportRetryTimeout)
+	deadline := time.Now().Add(reportRetryTimeout)
 	for {
 		final, err := in.reportOnce(ctx, number, programID, executor, outcome)
 		if err == nil || verdict.IsCode(err, verdict.Lost) {
 			return final, err
 		}
-		if time.Now().After(giveUp) || ctx.Err() != nil {
+		if time.Now().After(deadline) || ctx.Err() != nil {
 			return nil, err
 		}
 		_ = wait.For(ctx, reportRetryDelay)
--- a/internal/rookpassd/daemon/stop.go
+++ b/internal/rookpassd/daemon/stop.go
@@ -79,13 +79,13 @@
 	in.ownership.Drain()
 	in.lease.SetDraining()
 	d.handOverAll(ctx, in)
-	var cut error
+	var waitErr error
 	if guard.Enabled(guard.GracefulStop) {
 		s.finishCallers(ctx)
-		cut = in.holder.Wait(ctx)
+		waitErr = in.holder.Wait(ctx)
 	}
 	d.endIncarnation(ctx, in)
-	d.log.WithFields(logrus.Fields{"event": "daemon.stopped", "calls_cut": cut != nil}).Info()
+	d.log.WithFields(logrus.Fields{"event": "daemon.stopped", "calls_cut": waitErr != nil}).Info()
 	return true
 }
 
