--- a/internal/rookpassd/admin/admin.go
+++ b/internal/rookpassd/admin/admin.go
@@ -25,7 +25,7 @@
 // probeTimeout bounds a probe of one daemon.
 const probeTimeout = time.Second
 
-// apiRetryAfter is the retry delay in refusals while the object API or a daemon does not answer.
+// apiRetryAfter is the retry delay in errors while the object API or a daemon does not answer.
 const apiRetryAfter = 2 * time.Second
 
 // Peers sends requests to other daemons; *peer.Client implements it.
--- a/internal/rookpassd/auth/auth.go
+++ b/internal/rookpassd/auth/auth.go
@@ -47,7 +47,7 @@
 	return name, secret, nil
 }
 
-// errDenied is returned for unknown names and wrong secrets alike, so that it does not reveal which names exist.
+// errDenied is returned for malformed headers, unknown names and wrong secrets alike.
 var errDenied = verdict.Refuse(verdict.Unauthenticated, "name or secret is wrong")
 
 // Caller returns the organisation that an authorization header authenticates.
--- a/internal/rookpassd/peer/client.go
+++ b/internal/rookpassd/peer/client.go
@@ -32,7 +32,7 @@
 	return &Client{dial: dial, conns: map[string]*rpc.Client{}}
 }
 
-// Close closes all connections. Later calls fail with rpc.ErrShutdown.
+// Close closes all connections. Later calls fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
