--- a/internal/rookpassd/holder/holds.go
+++ b/internal/rookpassd/holder/holds.go
@@ -7,15 +7,15 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// HeldProgram is an ended program for which backend servers may still hold cache.
-type HeldProgram struct {
+// EndedProgram is an ended program for which backend servers may still hold cache.
+type EndedProgram struct {
 	ID       string
 	Backends []string
 }
 
 // Held returns the ended programs of this daemon whose cache is not known to be released.
-func (h *Holder) Held() []HeldProgram {
-	var held []HeldProgram
+func (h *Holder) Held() []EndedProgram {
+	var held []EndedProgram
 	for i := range h.shards {
 		if s := h.shards[i].Load(); s != nil {
 			held = append(held, s.held()...)
@@ -24,13 +24,13 @@
 	return held
 }
 
-func (s *shard) held() []HeldProgram {
+func (s *shard) held() []EndedProgram {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var held []HeldProgram
+	var held []EndedProgram
 	for id, l := range s.programs {
 		if l.Ended() && l.running == nil && len(l.Holds()) > 0 {
-			held = append(held, HeldProgram{ID: id, Backends: append([]string(nil), l.Holds()...)})
+			held = append(held, EndedProgram{ID: id, Backends: append([]string(nil), l.Holds()...)})
 		}
 	}
 	return held
--- a/internal/rookpassd/holds/controller.go
+++ b/internal/rookpassd/holds/controller.go
@@ -20,7 +20,7 @@
 
 // Programs tells which programs live here; *holder.Holder implements it.
 type Programs interface {
-	Held() []holder.HeldProgram
+	Held() []holder.EndedProgram
 	Released(ctx context.Context, programID string, backends []string) error
 	Ended(programs []string) []string
 }
