--- a/internal/rookpassd/route/forward.go
+++ b/internal/rookpassd/route/forward.go
@@ -80,7 +80,7 @@
 func (f *GRPCForwarder) Forward(ctx context.Context, address string, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteEvent) error) (bool, error) {
 	conn, err := f.conn(address)
 	if err != nil {
-		return false, ForwardBroke(err)
+		return false, ForwardError(err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -96,7 +96,7 @@
 		case errors.Is(err, io.EOF) && whole:
 			return true, nil
 		case errors.Is(err, io.EOF):
-			return true, ForwardBroke(errors.New("stream ended early"))
+			return true, ForwardError(errors.New("stream ended early"))
 		case err != nil:
 			return flag.Left(), forwardError(err)
 		}
@@ -115,7 +115,7 @@
 	if sent.Answered(err) {
 		return verdict.FromGRPC(err)
 	}
-	return ForwardBroke(err)
+	return ForwardError(err)
 }
 
 // answers checks that a final event belongs to the request, before it is delivered.
--- a/internal/rookpassd/route/router.go
+++ b/internal/rookpassd/route/router.go
@@ -103,8 +103,8 @@
 // errForward is the code of a forward that broke; it never reaches a caller.
 const errForward verdict.Code = "FORWARD_BROKE"
 
-// ForwardBroke returns the error of a forward that got no whole answer.
-func ForwardBroke(err error) error {
+// ForwardError returns the error of a forward that got no whole answer.
+func ForwardError(err error) error {
 	return verdict.Unknown(errForward, noOwnerRetry, "%v", err)
 }
 
