--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -196,7 +196,7 @@
 		attained:     call.AttainedTokens,
 		promptTokens: int64(len(call.Prompt)) / bytesPerToken,
 		costTokens:   int64(len(call.Prompt))/bytesPerToken + call.MaxTokens,
-		holds:        call.Holds,
+		holds:        call.CachedOn,
 		avoid:        call.Avoid,
 	}
 	s, err := p.acquire(ctx, a)
--- a/internal/rookpassd/holder/generate.go
+++ b/internal/rookpassd/holder/generate.go
@@ -74,7 +74,7 @@
 		MaxTokens:      r.call.MaxTokens - used,
 		Priority:       l.Priority(),
 		AttainedTokens: l.Spent(),
-		Holds:          l.Holds(),
+		CachedOn:       l.Holds(),
 		Avoid:          avoid,
 	}
 	s.mu.Unlock()
--- a/internal/rookpassd/holder/holder.go
+++ b/internal/rookpassd/holder/holder.go
@@ -48,8 +48,8 @@
 	Priority  int32
 	// AttainedTokens is the service that the whole program has had.
 	AttainedTokens int64
-	// Holds are the engines that may have the program's cache.
-	Holds []string
+	// CachedOn are the engines that may have the program's cache.
+	CachedOn []string
 	// Avoid are engines on which this call broke off before.
 	Avoid []string
 }
