--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -197,7 +197,7 @@
 		promptTokens: int64(len(call.Prompt)) / bytesPerToken,
 		costTokens:   int64(len(call.Prompt))/bytesPerToken + call.MaxTokens,
 		holds:        call.CachedOn,
-		avoid:        call.Avoid,
+		avoid:        call.Exclude,
 	}
 	s, err := p.acquire(ctx, a)
 	if err != nil || s == nil {
--- a/internal/rookpassd/holder/generate.go
+++ b/internal/rookpassd/holder/generate.go
@@ -75,7 +75,7 @@
 		Priority:       l.Priority(),
 		AttainedTokens: l.Spent(),
 		CachedOn:       l.Holds(),
-		Avoid:          avoid,
+		Exclude:        avoid,
 	}
 	s.mu.Unlock()
 	return h.Runner.Model(ctx, modelCall, r.write)
--- a/internal/rookpassd/holder/holder.go
+++ b/internal/rookpassd/holder/holder.go
@@ -50,8 +50,8 @@
 	AttainedTokens int64
 	// CachedOn are the engines that may have the program's cache.
 	CachedOn []string
-	// Avoid are engines on which this call broke off before.
-	Avoid []string
+	// Exclude are engines on which this call broke off before.
+	Exclude []string
 }
 
 // ModelResult is what a generation used.
