--- a/internal/rookpassd/route/forward.go
+++ b/internal/rookpassd/route/forward.go
@@ -87,7 +87,7 @@
 	ctx, flag := sent.Track(ctx)
 	stream, err := peerv1.NewHolderClient(conn).Execute(ctx, req)
 	if err != nil {
-		return flag.Left(), forwardError(err)
+		return flag.MayHaveSent(), forwardError(err)
 	}
 	whole := false
 	for {
@@ -98,7 +98,7 @@
 		case errors.Is(err, io.EOF):
 			return true, ForwardError(errors.New("stream ended early"))
 		case err != nil:
-			return flag.Left(), forwardError(err)
+			return flag.MayHaveSent(), forwardError(err)
 		}
 		if !answers(req, event) {
 			return true, verdict.Unknown(verdict.Lost, noOwnerRetry, "owner answered another request")
--- a/internal/rookpassd/sent/sent.go
+++ b/internal/rookpassd/sent/sent.go
@@ -24,8 +24,8 @@
 // Flag is set once a request's headers are on their way.
 type Flag struct{ set atomic.Bool }
 
-// Left tells whether any byte of the request may have left.
-func (f *Flag) Left() bool { return f.set.Load() }
+// MayHaveSent tells whether any byte of the request may have left.
+func (f *Flag) MayHaveSent() bool { return f.set.Load() }
 
 // Track returns a context for one request and the flag that Handler sets for it.
 func Track(ctx context.Context) (context.Context, *Flag) {
@@ -39,7 +39,7 @@
 	if Answered(err) {
 		return verdict.FromGRPC(err)
 	}
-	if f.Left() {
+	if f.MayHaveSent() {
 		return verdict.Unknown(verdict.Lost, lostRetry, "%v", err)
 	}
 	return verdict.RetryLater(verdict.Unavailable, connectRetry, "%v", err)
