--- a/internal/rookpassd/route/forward.go
+++ b/internal/rookpassd/route/forward.go
@@ -112,7 +112,7 @@
 
 // forwardError tells an owner's refusal from a broken forward.
 func forwardError(err error) error {
-	if sent.Answered(err) {
+	if sent.IsPeerError(err) {
 		return verdict.FromGRPC(err)
 	}
 	return ForwardError(err)
--- a/internal/rookpassd/sent/sent.go
+++ b/internal/rookpassd/sent/sent.go
@@ -36,7 +36,7 @@
 // Error returns the typed error of a tracked request: the one that the server sent, or one that says whether
 // the request may have run.
 func (f *Flag) Error(err error) *verdict.Error {
-	if Answered(err) {
+	if IsPeerError(err) {
 		return verdict.FromGRPC(err)
 	}
 	if f.MayHaveSent() {
@@ -45,8 +45,8 @@
 	return verdict.RetryLater(verdict.Unavailable, connectRetry, "%v", err)
 }
 
-// Answered tells whether an error came from rookpass code at the other end.
-func Answered(err error) bool { return len(status.Convert(err).Details()) > 0 }
+// IsPeerError tells whether an error came from rookpass code at the other end.
+func IsPeerError(err error) bool { return len(status.Convert(err).Details()) > 0 }
 
 // Handler sets flags. A client connection needs it as a stats handler.
 type Handler struct{}
