--- a/internal/rookpassd/journal/seal.go
+++ b/internal/rookpassd/journal/seal.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// ReadOpen returns the segments of a log after the given one without ending it. It has the signature of Seal,
+// ReadUnsealed returns the segments of a log after the given one without ending it. It has the signature of Seal,
 // for the test that shows what the seal is for.
-func ReadOpen(ctx context.Context, api objectapi.API, incarnation string, after uint64, _, _ string) ([]*peerv1.Segment, error) {
+func ReadUnsealed(ctx context.Context, api objectapi.API, incarnation string, after uint64, _, _ string) ([]*peerv1.Segment, error) {
 	var segments []*peerv1.Segment
 	for number := after + 1; ; number++ {
 		segment, err := readSegment(ctx, api, incarnation, number)
--- a/internal/rookpassd/ownership/seal.go
+++ b/internal/rookpassd/ownership/seal.go
@@ -53,7 +53,7 @@
 	after := min(daemon.LogPosition, firstNeeded(view, daemon.Incarnation)-1)
 	seal := journal.Seal
 	if !guard.Enabled(guard.Seal) {
-		seal = journal.ReadOpen
+		seal = journal.ReadUnsealed
 	}
 	segments, err := seal(ctx, c.API, daemon.Incarnation, after, c.Incarnation, "daemon does not answer")
 	if err != nil {
