--- a/internal/rookpassd/daemon/servers.go
+++ b/internal/rookpassd/daemon/servers.go
@@ -52,7 +52,7 @@
 	rookpassv1.RegisterCallerServer(s.callers, entry.NewCaller(chain))
 	rookpassv1.RegisterOperatorServer(s.callers, d.newAdmin())
 	s.forward = grpc.NewServer(tracing, grpc.MaxRecvMsgSize(route.MaxMessageBytes), grpc.MaxSendMsgSize(route.MaxMessageBytes))
-	peerv1.RegisterHolderServer(s.forward, &entry.Forwarded{
+	peerv1.RegisterHolderServer(s.forward, &entry.ForwardServer{
 		Executor: func() entry.Executor { return d.current.Load().holder },
 	})
 	s.http = &fasthttp.Server{
--- a/internal/rookpassd/entry/forward.go
+++ b/internal/rookpassd/entry/forward.go
@@ -14,16 +14,16 @@
 	Execute(ctx context.Context, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteEvent) error) error
 }
 
-// Forwarded implements the Holder service for requests that other daemons forward. The peers' connections
+// ForwardServer implements the Holder service for requests that other daemons forward. The peers' connections
 // are mutually authenticated; the organisation they name is the one they authenticated.
-type Forwarded struct {
+type ForwardServer struct {
 	peerv1.UnimplementedHolderServer
 	// Executor returns the present incarnation's holder.
 	Executor func() Executor
 }
 
 // Execute implements peerv1.HolderServer.
-func (f *Forwarded) Execute(req *peerv1.ExecuteRequest, stream grpc.ServerStreamingServer[peerv1.ExecuteEvent]) error {
+func (f *ForwardServer) Execute(req *peerv1.ExecuteRequest, stream grpc.ServerStreamingServer[peerv1.ExecuteEvent]) error {
 	if req.Organisation == "" || req.ProgramId == "" {
 		return verdict.GRPC(verdict.Refuse(verdict.Invalid, "forwarded request names no organisation or program"))
 	}
