--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -51,7 +51,7 @@
 type Stats struct {
 	ModelCalls   atomic.Int64
 	ServiceCalls atomic.Int64
-	Broken       atomic.Int64
+	Failures     atomic.Int64
 	Refused      atomic.Int64
 }
 
@@ -252,7 +252,7 @@
 		r.stats.Refused.Add(1)
 		return true
 	}
-	r.stats.Broken.Add(1)
+	r.stats.Failures.Add(1)
 	return false
 }
 
--- a/internal/rookpassd/daemon/metrics.go
+++ b/internal/rookpassd/daemon/metrics.go
@@ -20,7 +20,7 @@
 			"calls_unsettled":         calls.Unsettled.Load(),
 			"backend_model_calls":     backends.ModelCalls.Load(),
 			"backend_service_calls":   backends.ServiceCalls.Load(),
-			"backend_broken":          backends.Broken.Load(),
+			"backend_broken":          backends.Failures.Load(),
 			"backend_refused":         backends.Refused.Load(),
 			"journal_segments":        in.journal.Segments(),
 			"journal_pending_bytes":   in.journal.PendingBytes(),
