--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -52,7 +52,7 @@
 	ModelCalls   atomic.Int64
 	ServiceCalls atomic.Int64
 	Failures     atomic.Int64
-	Refused      atomic.Int64
+	Refusals     atomic.Int64
 }
 
 // fleet is an immutable set of clients and pools, replaced when the configuration changes.
@@ -249,7 +249,7 @@
 	}
 	typed := verdict.Of(err)
 	if typed.Verdict == verdict.NotRun && typed.Code != verdict.Unavailable {
-		r.stats.Refused.Add(1)
+		r.stats.Refusals.Add(1)
 		return true
 	}
 	r.stats.Failures.Add(1)
--- a/internal/rookpassd/daemon/metrics.go
+++ b/internal/rookpassd/daemon/metrics.go
@@ -21,7 +21,7 @@
 			"backend_model_calls":     backends.ModelCalls.Load(),
 			"backend_service_calls":   backends.ServiceCalls.Load(),
 			"backend_broken":          backends.Failures.Load(),
-			"backend_refused":         backends.Refused.Load(),
+			"backend_refused":         backends.Refusals.Load(),
 			"journal_segments":        in.journal.Segments(),
 			"journal_pending_bytes":   in.journal.PendingBytes(),
 			"journal_stalled":         in.journal.Stalled(),
