--- a/internal/rookpassd/holds/controller.go
+++ b/internal/rookpassd/holds/controller.go
@@ -20,7 +20,7 @@
 
 // Programs tells which programs live here; *holder.Holder implements it.
 type Programs interface {
-	EndedWithCache() []holder.EndedProgram
+	Held() []holder.EndedProgram
 	Released(ctx context.Context, programID string, backends []string) error
 	Ended(programs []string) []string
 }
@@ -94,7 +94,7 @@
 
 // releaseEnded releases what ended programs of this daemon held, and records what engines confirmed.
 func (c *Controller) releaseEnded(ctx context.Context) {
-	for _, held := range c.Programs.EndedWithCache() {
+	for _, held := range c.Programs.Held() {
 		var confirmed []string
 		for _, name := range held.Backends {
 			if c.release(ctx, name, held.ID) {
