--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -281,7 +281,7 @@
 	}
 }
 
-func (r *Runner) serviceResult(name string, answer Answer) holder.ServiceResult {
+func (r *Runner) serviceResult(name string, answer Response) holder.ServiceResult {
 	return holder.ServiceResult{
 		Backend:    name,
 		Status:     answer.Status,
@@ -291,7 +291,7 @@
 }
 
 // serviceOnce makes one attempt. The name is empty when no server was given to the call.
-func (r *Runner) serviceOnce(ctx context.Context, call holder.ServiceCall, avoid []string) (string, Answer, error) {
+func (r *Runner) serviceOnce(ctx context.Context, call holder.ServiceCall, avoid []string) (string, Response, error) {
 	f := r.fleet.Load()
 	kind := rookpassv1.CallKind_CALL_KIND_TOOL
 	path := ToolPath(call.Service)
@@ -303,13 +303,13 @@
 	}
 	p := f.pools[target{kind, call.Service}]
 	if p == nil {
-		return "", Answer{}, verdict.RetryLater(verdict.Unavailable, brokeRetry, "no server serves %q", call.Service)
+		return "", Response{}, verdict.RetryLater(verdict.Unavailable, brokeRetry, "no server serves %q", call.Service)
 	}
 	s, err := p.acquire(ctx, &ask{
 		organisation: call.Organisation, weight: r.weight(call.Organisation), costTokens: 1, avoid: avoid,
 	})
 	if err != nil || s == nil {
-		return "", Answer{}, noServer(err)
+		return "", Response{}, noServer(err)
 	}
 	r.stats.ServiceCalls.Add(1)
 	ctx, span := r.options.Tracer.Start(ctx, call.Kind, trace.WithSpanKind(trace.SpanKindClient),
--- a/internal/rookpassd/backend/service.go
+++ b/internal/rookpassd/backend/service.go
@@ -18,8 +18,8 @@
 	return &Service{client: httpclient.New(addr, dial, idle)}
 }
 
-// Answer is a service's whole answer.
-type Answer struct {
+// Response is a service's whole answer.
+type Response struct {
 	Status int
 	Body   []byte
 }
@@ -29,7 +29,7 @@
 
 // Send sends one request: GET for an idempotent one without a body, POST otherwise. Any answer that is not
 // a refusal is an answer, whatever its status.
-func (s *Service) Send(ctx context.Context, path string, body []byte, requestID string, idempotent bool) (Answer, error) {
+func (s *Service) Send(ctx context.Context, path string, body []byte, requestID string, idempotent bool) (Response, error) {
 	r := httpclient.Request{
 		Method:     http.MethodPost,
 		Path:       path,
@@ -42,17 +42,17 @@
 	}
 	resp, err := s.client.Do(ctx, r)
 	if err != nil {
-		return Answer{}, sendError(err)
+		return Response{}, sendError(err)
 	}
 	if err := refusal(s.client.Addr(), resp); err != nil {
 		resp.Close()
-		return Answer{}, err
+		return Response{}, err
 	}
 	answer, err := resp.ReadAll(ctx, maxAnswerBytes)
 	if err != nil {
-		return Answer{}, verdict.Unknown(verdict.Unavailable, brokeRetry, "%s: answer broke off: %v", s.client.Addr(), err)
+		return Response{}, verdict.Unknown(verdict.Unavailable, brokeRetry, "%s: answer broke off: %v", s.client.Addr(), err)
 	}
-	return Answer{Status: resp.Status, Body: answer}, nil
+	return Response{Status: resp.Status, Body: answer}, nil
 }
 
 // Close ends the client's idle connections.
