--- a/internal/rookpassd/backend/engine.go
+++ b/internal/rookpassd/backend/engine.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// Holds returns all cache that the engine keeps for tags.
-func (e *Engine) Holds(ctx context.Context) ([]Hold, error) {
+// ListHolds returns all cache that the engine keeps for tags.
+func (e *Engine) ListHolds(ctx context.Context) ([]Hold, error) {
 	body, err := e.order(ctx, http.MethodGet, "/v1/holds", nil)
 	if err != nil {
 		return nil, err
--- a/internal/rookpassd/holds/controller.go
+++ b/internal/rookpassd/holds/controller.go
@@ -142,7 +142,7 @@
 	}
 	listCtx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
-	listed, err := engine.Holds(listCtx)
+	listed, err := engine.ListHolds(listCtx)
 	if err != nil {
 		return
 	}
