--- a/internal/rookpassd/holder/generate.go
+++ b/internal/rookpassd/holder/generate.go
@@ -74,7 +74,7 @@
 		MaxTokens:      r.call.MaxTokens - used,
 		Priority:       l.Priority(),
 		AttainedTokens: l.Spent(),
-		CachedOn:       l.Holds(),
+		CachedOn:       l.CachedOn(),
 		Exclude:        avoid,
 	}
 	s.mu.Unlock()
--- a/internal/rookpassd/holder/handover.go
+++ b/internal/rookpassd/holder/handover.go
@@ -332,7 +332,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.programs {
-		if l.Ended() && l.running == nil && len(l.Holds()) == 0 && l.Snapshot().EndedAtUnixMs < endedBefore {
+		if l.Ended() && l.running == nil && len(l.CachedOn()) == 0 && l.Snapshot().EndedAtUnixMs < endedBefore {
 			delete(s.programs, id)
 		}
 	}
--- a/internal/rookpassd/holder/holds.go
+++ b/internal/rookpassd/holder/holds.go
@@ -29,8 +29,8 @@
 	defer s.mu.Unlock()
 	var held []EndedProgram
 	for id, l := range s.programs {
-		if l.Ended() && l.running == nil && len(l.Holds()) > 0 {
-			held = append(held, EndedProgram{ID: id, Backends: append([]string(nil), l.Holds()...)})
+		if l.Ended() && l.running == nil && len(l.CachedOn()) > 0 {
+			held = append(held, EndedProgram{ID: id, Backends: append([]string(nil), l.CachedOn()...)})
 		}
 	}
 	return held
--- a/internal/rookpassd/program/program.go
+++ b/internal/rookpassd/program/program.go
@@ -80,8 +80,8 @@
 // Finished returns the finished call with a request id, or nil.
 func (p *Program) Finished(requestID string) *peerv1.Finished { return p.byRequest[requestID] }
 
-// Holds returns the backend servers that may hold cache for the program.
-func (p *Program) Holds() []string { return p.snap.Holds }
+// CachedOn returns the backend servers that may hold cache for the program.
+func (p *Program) CachedOn() []string { return p.snap.Holds }
 
 // HistoryBytes returns the size of all inputs and outputs.
 func (p *Program) HistoryBytes() int { return p.historyBytes }
