--- a/internal/rookpassd/holder/budget.go
+++ b/internal/rookpassd/holder/budget.go
@@ -16,7 +16,7 @@
 func (h *Holder) worstCase(l *live, call *rookpassv1.CallRequest) int64 {
 	switch call.Kind {
 	case rookpassv1.CallKind_CALL_KIND_MODEL:
-		return l.WorstCase(call.Input, call.MaxTokens)
+		return l.MaxCost(call.Input, call.MaxTokens)
 	case rookpassv1.CallKind_CALL_KIND_SUB_AGENT:
 		return call.ChildBudgetTokens
 	default:
--- a/internal/rookpassd/program/program.go
+++ b/internal/rookpassd/program/program.go
@@ -179,9 +179,9 @@
 	return append(prompt, input...)
 }
 
-// WorstCase bounds the tokens that a model call may cost: the prompt, counted by the engine as far as it
+// MaxCost bounds the tokens that a model call may cost: the prompt, counted by the engine as far as it
 // has seen it and otherwise at one token a byte, and the bound on generated tokens.
-func (p *Program) WorstCase(input []byte, maxTokens int64) int64 {
+func (p *Program) MaxCost(input []byte, maxTokens int64) int64 {
 	unseen := p.historyBytes - p.promptBytes + len(input)
 	return p.promptTokens + int64(unseen) + maxTokens
 }
--- a/internal/rookpassd/program/program_test.go
+++ b/internal/rookpassd/program/program_test.go
@@ -131,7 +131,7 @@
 		for i := range rapid.IntRange(0, 10).Draw(r, "turns") {
 			input := make([]byte, rapid.IntRange(0, 500).Draw(r, "input"))
 			most := int64(rapid.IntRange(1, 50).Draw(r, "max"))
-			worst := p.WorstCase(input, most)
+			worst := p.MaxCost(input, most)
 			// An engine counts at most one token a byte, and for text that it has counted the same again.
 			prompt := int64(len(p.Prompt(input))+3) / 4
 			if prompt+most > worst {
