--- a/internal/rookpassd/holder/budget.go
+++ b/internal/rookpassd/holder/budget.go
@@ -26,8 +26,8 @@
 
 // checkBudget refuses a call whose worst case does not fit into what is left.
 func checkBudget(l *live, worst int64) error {
-	if worst > l.Unspent() && guard.Enabled(guard.Budget) {
-		return verdict.Refuse(verdict.BudgetExhausted, "the call may cost %d tokens, %d are left", worst, l.Unspent())
+	if worst > l.RemainingBudget() && guard.Enabled(guard.Budget) {
+		return verdict.Refuse(verdict.BudgetExhausted, "the call may cost %d tokens, %d are left", worst, l.RemainingBudget())
 	}
 	return nil
 }
@@ -35,7 +35,7 @@
 // reserveFor returns the durable bound to write so that a call of the given worst case may leave.
 func reserveFor(l *live, worst int64) int64 {
 	need := l.Spent() + worst
-	return min(need+reserveAhead, l.Spent()+l.Unspent())
+	return min(need+reserveAhead, l.Spent()+l.RemainingBudget())
 }
 
 // reserveNext returns the bound to write with a finished model call, so that the next one, with the same
@@ -43,5 +43,5 @@
 func reserveNext(l *live, finished *peerv1.Finished) int64 {
 	spent := l.Spent() + finished.CostTokens
 	next := finished.PromptTokens + finished.CompletionTokens + finished.Call.MaxTokens + reserveAhead
-	return min(spent+next, l.Spent()+l.Unspent())
+	return min(spent+next, l.Spent()+l.RemainingBudget())
 }
--- a/internal/rookpassd/holder/lifecycle.go
+++ b/internal/rookpassd/holder/lifecycle.go
@@ -140,7 +140,7 @@
 	return append(records, &peerv1.Record{
 		ProgramId: parent,
 		Change: &peerv1.Record_ChildSpent{ChildSpent: &peerv1.ChildSpent{
-			ChildId: l.ID(), RefundTokens: l.Unspent(),
+			ChildId: l.ID(), RefundTokens: l.RemainingBudget(),
 		}},
 	})
 }
--- a/internal/rookpassd/program/program.go
+++ b/internal/rookpassd/program/program.go
@@ -68,8 +68,10 @@
 // Spent returns the tokens spent.
 func (p *Program) Spent() int64 { return p.snap.SpentTokens }
 
-// Unspent returns the budget's rest.
-func (p *Program) Unspent() int64 { return p.snap.Started.GetBudgetTokens() - p.snap.SpentTokens }
+// RemainingBudget returns the budget's rest.
+func (p *Program) RemainingBudget() int64 {
+	return p.snap.Started.GetBudgetTokens() - p.snap.SpentTokens
+}
 
 // Reserved returns the durable bound on spending.
 func (p *Program) Reserved() int64 { return p.snap.ReservedTokens }
