--- a/internal/rookpassd/holder/budget.go
+++ b/internal/rookpassd/holder/budget.go
@@ -7,13 +7,12 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// reserveAhead is how many tokens beyond the known need a record reserves, so that the next call seldom
-// needs a record of its own before it leaves. What is reserved but not settled counts as spent when the
-// program's owner dies.
+// reserveAhead is the number of tokens that a record reserves beyond the current need, so that most calls need
+// no record before they are sent. Reserved tokens count as spent if the program's owner fails.
 const reserveAhead = 8192
 
-// worstCase bounds what a call may cost, whatever the backend server answers.
-func (h *Holder) worstCase(l *live, call *rookpassv1.CallRequest) int64 {
+// worstCase returns the maximum cost of a call in tokens.
+func (h *Holder) worstCase(l *programState, call *rookpassv1.CallRequest) int64 {
 	switch call.Kind {
 	case rookpassv1.CallKind_CALL_KIND_MODEL:
 		return l.MaxCost(call.Input, call.MaxTokens)
@@ -24,23 +23,23 @@
 	}
 }
 
-// checkBudget refuses a call whose worst case does not fit into what is left.
-func checkBudget(l *live, worst int64) error {
+// checkBudget returns an error if the maximum cost of a call exceeds the remaining budget.
+func checkBudget(l *programState, worst int64) error {
 	if worst > l.RemainingBudget() && guard.Enabled(guard.Budget) {
 		return verdict.Refuse(verdict.BudgetExhausted, "the call may cost %d tokens, %d are left", worst, l.RemainingBudget())
 	}
 	return nil
 }
 
-// reserveFor returns the durable bound to write so that a call of the given worst case may leave.
-func reserveFor(l *live, worst int64) int64 {
+// reserveFor returns the reservation to record before a call with the given maximum cost is sent.
+func reserveFor(l *programState, worst int64) int64 {
 	need := l.Spent() + worst
 	return min(need+reserveAhead, l.Spent()+l.RemainingBudget())
 }
 
-// reserveNext returns the bound to write with a finished model call, so that the next one, with the same
-// bound on generated tokens, needs no record before it leaves.
-func reserveNext(l *live, finished *peerv1.Finished) int64 {
+// reserveNext returns the reservation to record with a finished model call, so that a next call with the same
+// max_tokens usually needs no record before it is sent.
+func reserveNext(l *programState, finished *peerv1.Finished) int64 {
 	spent := l.Spent() + finished.CostTokens
 	next := finished.PromptTokens + finished.CompletionTokens + finished.Call.MaxTokens + reserveAhead
 	return min(spent+next, l.Spent()+l.RemainingBudget())
--- a/internal/rookpassd/holder/call.go
+++ b/internal/rookpassd/holder/call.go
@@ -16,14 +16,14 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// Limits of a definition that names none.
+// Limits that apply when a definition sets none.
 const (
 	defaultMaxTurns   = 256
 	defaultMaxRepeats = 16
 	defaultMaxTokens  = 512
 )
 
-// call runs the next call of a program, follows the one under way, or returns the stored answer.
+// call runs the next call of a program, follows it if it is already running, or replays its stored output.
 func (h *Holder) call(ctx context.Context, s *shard, req *peerv1.ExecuteRequest, call *rookpassv1.CallRequest, send func(*peerv1.ExecuteEvent) error) error {
 	ctx, span := h.Tracer.Start(ctx, "hold", trace.WithAttributes(
 		attribute.String("rookpass.program_id", req.ProgramId),
@@ -42,13 +42,13 @@
 	}
 }
 
-// admit decides under the shard's lock what a call is: a repeat of a finished one, a repeat of the one
-// under way, a new one, or refused. A new one is under way when admit returns.
+// admit classifies a call under the shard's lock: a retry of a finished call returns its record, a retry of the
+// running call returns its run, and a new call is started. Any other call is refused.
 func (h *Holder) admit(ctx context.Context, s *shard, req *peerv1.ExecuteRequest, call *rookpassv1.CallRequest) (*peerv1.Finished, *run, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return nil, nil, errMoved
+		return nil, nil, errHandingOver
 	}
 	l, err := s.find(req.Organisation, req.ProgramId)
 	if err != nil {
@@ -62,7 +62,7 @@
 		if l.running.call.RequestId == call.RequestId {
 			return nil, l.running, nil
 		}
-		return nil, nil, verdict.RetryLater(verdict.OutOfOrder, ownerRetry, "call %q is under way", l.running.call.RequestId)
+		return nil, nil, verdict.RetryLater(verdict.OutOfOrder, ownerRetry, "call %q is still running", l.running.call.RequestId)
 	}
 	if l.ending {
 		return nil, nil, verdict.Refuse(verdict.Ended, "program is ending")
@@ -81,10 +81,10 @@
 }
 
 // checkDefinition checks a call against the program's definition and fills in its defaults.
-func (h *Holder) checkDefinition(l *live, call *rookpassv1.CallRequest) error {
+func (h *Holder) checkDefinition(l *programState, call *rookpassv1.CallRequest) error {
 	definition := h.Config.View().Definitions[l.Definition()]
 	if definition == nil {
-		return verdict.Refuse(verdict.NotFound, "definition %q is gone", l.Definition())
+		return verdict.Refuse(verdict.NotFound, "definition %q no longer exists", l.Definition())
 	}
 	allowed := definition.Services
 	switch call.Kind {
@@ -97,13 +97,13 @@
 		allowed = definition.SubAgents
 	}
 	if !slices.Contains(allowed, call.Target) {
-		return verdict.Refuse(verdict.Forbidden, "definition %q may not reach %q", l.Definition(), call.Target)
+		return verdict.Refuse(verdict.Forbidden, "definition %q does not allow target %q", l.Definition(), call.Target)
 	}
 	if limit := orDefault(definition.MaxTurns, defaultMaxTurns); int64(call.Sequence) > limit {
-		return verdict.Refuse(verdict.LimitReached, "program has had its %d turns", limit)
+		return verdict.Refuse(verdict.LimitReached, "program has reached its limit of %d turns", limit)
 	}
 	if limit := orDefault(definition.MaxRepeats, defaultMaxRepeats); l.Repeats(call) >= limit {
-		return verdict.Refuse(verdict.LimitReached, "the same call %d times in a row", limit)
+		return verdict.Refuse(verdict.LimitReached, "same call repeated %d times in a row", limit)
 	}
 	return nil
 }
@@ -115,11 +115,11 @@
 	return value
 }
 
-// maxCallTime bounds a call whose caller set no deadline.
+// maxCallTime limits a call whose caller set no deadline.
 const maxCallTime = 10 * time.Minute
 
-// runContext returns the context of a call under way: it ends with the caller's deadline or the
-// incarnation, but not when the caller goes away.
+// runContext returns the context of a running call. It ends at the caller's deadline or with the incarnation,
+// but not when the caller disconnects.
 func (h *Holder) runContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, set := ctx.Deadline()
 	if !set {
@@ -128,8 +128,8 @@
 	return context.WithDeadline(trace.ContextWithSpan(h.lifetime, trace.SpanFromContext(ctx)), deadline)
 }
 
-// launch starts a call in a goroutine of its own.
-func (h *Holder) launch(ctx context.Context, s *shard, l *live, call *rookpassv1.CallRequest, worst int64) *run {
+// launch starts a call in a new goroutine. The caller must hold the shard's lock.
+func (h *Holder) launch(ctx context.Context, s *shard, l *programState, call *rookpassv1.CallRequest, worst int64) *run {
 	runCtx, cancel := h.runContext(ctx)
 	r := newRun(call, cancel)
 	l.running = r
@@ -143,8 +143,8 @@
 	return r
 }
 
-// execute runs a launched call to its end.
-func (h *Holder) execute(ctx context.Context, s *shard, l *live, r *run, worst int64) {
+// execute runs a launched call, stores its outcome and completes its run.
+func (h *Holder) execute(ctx context.Context, s *shard, l *programState, r *run, worst int64) {
 	outcome, err := h.perform(ctx, s, l, r, worst)
 	var final *rookpassv1.CallFinal
 	if outcome != nil {
@@ -163,40 +163,41 @@
 		final = finalOf(l.ID(), stored, l.Spent())
 	}
 	s.mu.Unlock()
-	r.conclude(stored, final, err)
+	r.complete(stored, final, err)
 }
 
-// settle makes a call's outcome durable: here, or at the new owner when the partition has moved meanwhile.
-// The final event leaves only after that.
-func (h *Holder) settle(ctx context.Context, s *shard, l *live, outcome *peerv1.Record) (*rookpassv1.CallFinal, error) {
+// settle makes the outcome of a call durable, at the new owner if the partition has been handed over. The final
+// event must not be sent before settle returns.
+func (h *Holder) settle(ctx context.Context, s *shard, l *programState, outcome *peerv1.Record) (*rookpassv1.CallFinal, error) {
 	ctx, span := h.Tracer.Start(ctx, "journal")
 	defer span.End()
-	// An ended program's call is still recorded, so ctx may be over; the incarnation's life is not.
+	// The outcome is recorded even if the call was cancelled because its program ended.
 	ctx = context.WithoutCancel(ctx)
 	for {
 		err := h.commit(ctx, s, func() ([]*peerv1.Record, error) {
 			return []*peerv1.Record{outcome}, nil
 		})
-		if !errors.Is(err, errMoved) {
-			return nil, afterRun(outcome, err)
+		if !errors.Is(err, errHandingOver) {
+			return nil, outcomeError(outcome, err)
 		}
 		final, err := h.Reporter.Report(h.lifetime, l.ID(), h.Incarnation, outcome)
 		if err == nil || !s.reopened() {
-			return final, afterRun(outcome, err)
+			return final, outcomeError(outcome, err)
 		}
 	}
 }
 
-// afterRun turns a failure to keep an outcome into an answer: a finished call ran, but its answer was lost.
-func afterRun(outcome *peerv1.Record, err error) error {
+// outcomeError converts a failure to store the outcome of a finished call to an error that says that the call ran.
+func outcomeError(outcome *peerv1.Record, err error) error {
 	if err == nil || outcome.GetFinished() == nil {
 		return err
 	}
-	return verdict.Unknown(verdict.Of(err).Code, ownerRetry, "the call ran but its answer was not kept: %v", err)
+	return verdict.Unknown(verdict.Of(err).Code, ownerRetry, "the call ran but its output could not be stored: %v", err)
 }
 
-// perform does what the call asks for. It returns the record to settle, if any, also with an error.
-func (h *Holder) perform(ctx context.Context, s *shard, l *live, r *run, worst int64) (*peerv1.Record, error) {
+// perform runs a call according to its kind. It returns the record to settle, which may be non-nil also when
+// there is an error.
+func (h *Holder) perform(ctx context.Context, s *shard, l *programState, r *run, worst int64) (*peerv1.Record, error) {
 	switch r.call.Kind {
 	case rookpassv1.CallKind_CALL_KIND_MODEL:
 		return h.generate(ctx, s, l, r, worst)
@@ -210,8 +211,9 @@
 	}
 }
 
-// startChild starts a sub-agent: its start and the end of the parent's call become durable together.
-func (h *Holder) startChild(ctx context.Context, s *shard, l *live, r *run) error {
+// startChild starts a sub-agent. The sub-agent's start and the result of the parent's call become durable
+// together.
+func (h *Holder) startChild(ctx context.Context, s *shard, l *programState, r *run) error {
 	id := program.ChildID(l.ID(), r.call.Sequence)
 	started, err := h.newProgram(l.Organisation(), &rookpassv1.StartProgramRequest{
 		Definition: r.call.Target, BudgetTokens: r.call.ChildBudgetTokens, Priority: 0,
@@ -232,7 +234,7 @@
 	})
 }
 
-// resume follows a call from an offset. It never runs anything.
+// resume streams the output of a running or finished call from an offset. It never starts a call.
 func (h *Holder) resume(ctx context.Context, s *shard, req *peerv1.ExecuteRequest, resume *rookpassv1.ResumeRequest, send func(*peerv1.ExecuteEvent) error) error {
 	s.mu.Lock()
 	l, err := s.find(req.Organisation, req.ProgramId)
--- a/internal/rookpassd/holder/generate.go
+++ b/internal/rookpassd/holder/generate.go
@@ -12,12 +12,13 @@
 	"github.com/rookpass/rookpass/internal/base/wait"
 )
 
-// maxGenerateAttempts is the retry budget of one model call, over different engines.
+// maxGenerateAttempts is the maximum number of attempts of one model call, including the first.
 const maxGenerateAttempts = 3
 
-// generate runs a model call. When an engine breaks off, another goes on from the text already sent, so
-// that the caller's answer stays one text; the broken attempt is charged at its worst case.
-func (h *Holder) generate(ctx context.Context, s *shard, l *live, r *run, worst int64) (*peerv1.Record, error) {
+// generate runs a model call. If an engine fails during the generation, the next attempt continues after the
+// text already sent, so that the caller sees one continuous output. A failed attempt that may have run is
+// charged its maximum cost.
+func (h *Holder) generate(ctx context.Context, s *shard, l *programState, r *run, worst int64) (*peerv1.Record, error) {
 	var avoid []string
 	var used int64
 	pauses := backoff.NewExponentialBackOff()
@@ -50,18 +51,19 @@
 		if _, err := h.settle(ctx, s, l, broken); err != nil {
 			return nil, err
 		}
-		if err := h.affordAgain(s, l, worst); err != nil {
+		if err := h.checkRetryBudget(s, l, worst); err != nil {
 			return nil, err
 		}
 		if result.Backend != "" {
 			avoid = append(avoid, result.Backend)
 		}
-		_ = wait.For(ctx, pauses.NextBackOff()) // The next attempt finds that ctx has ended.
+		_ = wait.For(ctx, pauses.NextBackOff()) // If ctx has ended, the next attempt fails.
 	}
 }
 
-// generateOnce makes one attempt, after the text and tokens that earlier attempts gave.
-func (h *Holder) generateOnce(ctx context.Context, s *shard, l *live, r *run, attempt int, avoid []string, used int64) (ModelResult, error) {
+// generateOnce makes one attempt, which continues after the output of earlier attempts. used is the number of
+// tokens that they generated.
+func (h *Holder) generateOnce(ctx context.Context, s *shard, l *programState, r *run, attempt int, avoid []string, used int64) (ModelResult, error) {
 	s.mu.Lock()
 	modelCall := ModelCall{
 		Organisation:   l.Organisation(),
@@ -81,8 +83,8 @@
 	return h.Runner.Model(ctx, modelCall, r.write)
 }
 
-// generated returns the record of a whole generation.
-func (h *Holder) generated(s *shard, l *live, r *run, result ModelResult, used int64) *peerv1.Finished {
+// generated returns the record of a complete generation.
+func (h *Holder) generated(s *shard, l *programState, r *run, result ModelResult, used int64) *peerv1.Finished {
 	finished := &peerv1.Finished{
 		Call:             r.call,
 		Output:           r.text(),
@@ -99,19 +101,19 @@
 	return finished
 }
 
-// reserve makes sure that the durable bound on spending covers a call before it leaves.
-func (h *Holder) reserve(ctx context.Context, s *shard, l *live, call *rookpassv1.CallRequest, worst int64) error {
+// reserve ensures that the durable reservation of the program covers a call before the call is sent.
+func (h *Holder) reserve(ctx context.Context, s *shard, l *programState, call *rookpassv1.CallRequest, worst int64) error {
 	s.mu.Lock()
 	covered := l.Spent()+worst <= l.Reserved()
 	s.mu.Unlock()
 	if covered {
 		return nil
 	}
-	return h.intend(ctx, s, l, call, worst)
+	return h.recordIntent(ctx, s, l, call, worst)
 }
 
-// intend makes a call durable before it leaves. Its error means that the call did not leave.
-func (h *Holder) intend(ctx context.Context, s *shard, l *live, call *rookpassv1.CallRequest, worst int64) error {
+// recordIntent makes the intent to run a call durable before the call is sent. If it fails, the call must not be sent.
+func (h *Holder) recordIntent(ctx context.Context, s *shard, l *programState, call *rookpassv1.CallRequest, worst int64) error {
 	ctx, span := h.Tracer.Start(ctx, "journal")
 	defer span.End()
 	return h.commit(ctx, s, func() ([]*peerv1.Record, error) {
@@ -120,12 +122,12 @@
 	})
 }
 
-// affordAgain refuses a further attempt that the budget does not cover.
-func (h *Holder) affordAgain(s *shard, l *live, worst int64) error {
+// checkRetryBudget returns an error if the remaining budget does not cover another attempt.
+func (h *Holder) checkRetryBudget(s *shard, l *programState, worst int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := checkBudget(l, worst); err != nil {
-		return verdict.Unknown(verdict.BudgetExhausted, 0, "the engine broke off and the budget allows no further attempt")
+		return verdict.Unknown(verdict.BudgetExhausted, 0, "engine failed and the remaining budget does not cover a retry")
 	}
 	return nil
 }
--- a/internal/rookpassd/holder/handover.go
+++ b/internal/rookpassd/holder/handover.go
@@ -13,8 +13,8 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// Recover puts a partition that was taken from a dead owner in service. Calls that were under way are
-// closed and reserved tokens count as spent; that is durable before anything is served.
+// Recover starts serving a partition that was taken over from a failed owner. Before that, it durably closes
+// the calls that were running and counts reserved tokens as spent.
 func (h *Holder) Recover(ctx context.Context, number uint32, epoch uint64, programs map[string]*program.Program) error {
 	s := newShard(number, epoch)
 	for _, p := range programs {
@@ -33,13 +33,13 @@
 	return h.install(s)
 }
 
-// install puts a shard in service, unless the partition is in service under the same or a later epoch: its
-// state is then newer than what was recovered.
+// install starts serving a shard. It returns a Conflict error if the partition is already served under the same
+// or a later epoch, whose state is newer.
 func (h *Holder) install(s *shard) error {
 	for {
 		present := h.shards[s.number].Load()
 		if present != nil && present.epoch >= s.epoch {
-			return verdict.Refuse(verdict.Conflict, "partition %d is in service under epoch %d", s.number, present.epoch)
+			return verdict.Refuse(verdict.Conflict, "partition %d is already served under epoch %d", s.number, present.epoch)
 		}
 		if h.shards[s.number].CompareAndSwap(present, s) {
 			return nil
@@ -47,8 +47,8 @@
 	}
 }
 
-// takeoverRecords returns the records that a new owner starts a program with.
-func takeoverRecords(l *live) []*peerv1.Record {
+// takeoverRecords returns the records that a new owner must write before it serves a program.
+func takeoverRecords(l *programState) []*peerv1.Record {
 	call := l.Intended()
 	if call == nil {
 		call = l.Snapshot().Running
@@ -64,8 +64,8 @@
 	return append(records, lostRecord(l.ID(), call, 0))
 }
 
-// lostRecord closes a call whose executor is gone. One that may be repeated is abandoned, so that it can run
-// again; any other is answered "may have run".
+// lostRecord returns the record that closes a call whose executor has failed. Idempotent calls and model calls
+// are abandoned, so that they can run again; other calls finish with the verdict "may have run".
 func lostRecord(id string, call *rookpassv1.CallRequest, cost int64) *peerv1.Record {
 	if call.Idempotent || call.Kind == rookpassv1.CallKind_CALL_KIND_MODEL {
 		return abandonedRecord(id, call, cost)
@@ -74,22 +74,22 @@
 		Call:       call,
 		Verdict:    rookpassv1.Verdict_VERDICT_MAY_HAVE_RUN,
 		CostTokens: cost,
-		Failure:    "the daemon that ran the call is gone",
+		Failure:    "the daemon that ran the call has failed",
 	})
 }
 
-// Close stops a partition for a hand-over and returns its programs, once all that was appended is durable.
-// Calls under way go on; their outcome is reported to the new owner. Reopen takes Close back.
+// Close stops serving a partition for a hand-over and returns its programs after all appended entries are
+// durable. Running calls continue; their outcome is reported to the new owner. Reopen undoes Close.
 func (h *Holder) Close(ctx context.Context, number uint32) ([]*peerv1.ProgramSnapshot, error) {
 	s := h.shards[number].Load()
 	if s == nil {
-		return nil, errMoved
+		return nil, errHandingOver
 	}
 	s.mu.Lock()
 	s.closed = true
 	last := s.last
 	s.mu.Unlock()
-	if err := untilDurable(ctx, last); err != nil {
+	if err := awaitDurable(ctx, last); err != nil {
 		h.Reopen(number)
 		return nil, err
 	}
@@ -101,7 +101,7 @@
 			continue
 		}
 		snapshot := proto.CloneOf(l.Snapshot())
-		// A call that still runs at an earlier owner stays that one's.
+		// A call that still runs at an earlier owner keeps that owner as its executor.
 		if l.running != nil && snapshot.Executor == "" {
 			snapshot.Running, snapshot.Executor = l.running.call, h.Incarnation
 		}
@@ -110,7 +110,7 @@
 	return snapshots, nil
 }
 
-// Reopen puts a closed partition back in service, after a hand-over that did not happen.
+// Reopen serves a closed partition again after a failed hand-over.
 func (h *Holder) Reopen(number uint32) {
 	s := h.shards[number].Load()
 	if s == nil {
@@ -121,14 +121,14 @@
 	s.closed = false
 }
 
-// reopened tells whether the shard takes records.
+// reopened reports whether the shard accepts records.
 func (s *shard) reopened() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.closed
 }
 
-// Drop forgets a partition that has another owner.
+// Drop removes a partition that has another owner.
 func (h *Holder) Drop(number uint32) {
 	if s := h.shards[number].Swap(nil); s != nil {
 		s.mu.Lock()
@@ -137,7 +137,7 @@
 	}
 }
 
-// Owns tells whether a partition is in service here, and under which epoch.
+// Owns reports whether this daemon serves a partition, and under which epoch.
 func (h *Holder) Owns(number uint32) (epoch uint64, owned bool) {
 	s := h.shards[number].Load()
 	if s == nil {
@@ -146,7 +146,7 @@
 	return s.epoch, true
 }
 
-// Adopt puts a partition in service that its old owner handed over.
+// Adopt starts serving a partition that its old owner handed over.
 func (h *Holder) Adopt(number uint32, epoch uint64, snapshots []*peerv1.ProgramSnapshot) error {
 	s := newShard(number, epoch)
 	for _, snapshot := range snapshots {
@@ -159,8 +159,8 @@
 	return h.install(s)
 }
 
-// AcceptReport makes the outcome of a call durable that ran at the partition's old owner. The report may come
-// again, when its answer was lost or late; it then has the same answer.
+// AcceptReport makes durable the outcome of a call that ran at the partition's old owner. A repeated report of a
+// finished call returns the same final event.
 func (h *Holder) AcceptReport(ctx context.Context, programID, executor string, outcome *peerv1.Record) (*rookpassv1.CallFinal, error) {
 	s, err := h.shardOf(programID)
 	if err != nil {
@@ -168,9 +168,9 @@
 	}
 	s.mu.Lock()
 	if s.closed {
-		// The old owner itself is asked, before it has seen its hand-over: the new owner will answer.
+		// The partition is being handed over by this daemon; the new owner must accept the report.
 		s.mu.Unlock()
-		return nil, errMoved
+		return nil, errHandingOver
 	}
 	l := s.programs[programID]
 	if l == nil {
@@ -193,12 +193,11 @@
 	return s.closeRemote(programID, r), nil
 }
 
-// errClosedByOther answers a report of a call that a later owner has closed, or that was reported before.
+// errClosedByOther rejects a report of a call that is no longer pending here.
 var errClosedByOther = verdict.Unknown(verdict.Lost, 0, "the call was closed by a later owner")
 
-// closeOnce makes the record durable that closes a call at another daemon. Whoever comes while that is under
-// way waits for the same entry.
-func (h *Holder) closeOnce(ctx context.Context, s *shard, l *live, outcome *peerv1.Record) error {
+// closeOnce durably closes a call that runs at another daemon. Concurrent callers wait for the same entry.
+func (h *Holder) closeOnce(ctx context.Context, s *shard, l *programState, outcome *peerv1.Record) error {
 	s.mu.Lock()
 	entry := l.reported
 	s.mu.Unlock()
@@ -219,10 +218,10 @@
 		entry = l.reported
 		s.mu.Unlock()
 	}
-	return untilDurable(ctx, entry)
+	return awaitDurable(ctx, entry)
 }
 
-// closeRemote ends the run that stands for a call at another daemon, after its outcome was applied.
+// closeRemote completes the run that represents a call at another daemon, after its outcome has been applied.
 func (s *shard) closeRemote(programID string, r *run) *rookpassv1.CallFinal {
 	s.mu.Lock()
 	l := s.programs[programID]
@@ -237,15 +236,15 @@
 	}
 	s.mu.Unlock()
 	if stored == nil {
-		r.conclude(nil, nil, verdict.Unknown(verdict.Unavailable, ownerRetry, "the call broke off; it may be repeated"))
+		r.complete(nil, nil, verdict.Unknown(verdict.Unavailable, ownerRetry, "the call was aborted; it can be retried"))
 		return nil
 	}
 	r.write(stored.Output)
-	r.conclude(stored, final, nil)
+	r.complete(stored, final, nil)
 	return final
 }
 
-// ExpireRemote closes the calls that still ran at old owners which have died since.
+// ExpireRemote closes the calls that were running at old owners that are no longer alive.
 func (h *Holder) ExpireRemote(ctx context.Context, alive func(incarnation string) bool) {
 	for i := range h.shards {
 		s := h.shards[i].Load()
@@ -285,15 +284,15 @@
 	}
 }
 
-// Snapshots returns the encoded state of a partition's programs, one at a time under the lock. A record that
-// becomes durable meanwhile may be in it or not: replaying it again changes nothing. Ended programs whose
-// retention has passed and that hold no cache are left out and forgotten.
+// Snapshots returns the encoded state of a partition's programs. The lock is released between programs, so
+// records that become durable meanwhile may be included or not; replaying them is idempotent. Ended programs
+// that are past their retention and hold no cache are evicted first.
 func (h *Holder) Snapshots(number uint32, retention time.Duration) [][]byte {
 	s := h.shards[number].Load()
 	if s == nil {
 		return nil
 	}
-	s.forget(time.Now().Add(-retention).UnixMilli())
+	s.evictEnded(time.Now().Add(-retention).UnixMilli())
 	var encoded [][]byte
 	for _, id := range s.ids() {
 		if snapshot := s.encode(id); snapshot != nil {
@@ -327,8 +326,8 @@
 	return encoded
 }
 
-// forget removes ended programs from memory.
-func (s *shard) forget(endedBefore int64) {
+// evictEnded removes programs from memory that ended before the given Unix time in milliseconds and hold no cache.
+func (s *shard) evictEnded(endedBefore int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, l := range s.programs {
@@ -338,5 +337,5 @@
 	}
 }
 
-// Wait returns once no call runs here any more, or ctx ends.
+// Wait waits until no call is running at this holder or ctx ends.
 func (h *Holder) Wait(ctx context.Context) error { return wait.Group(ctx, &h.running) }
--- a/internal/rookpassd/holder/handover_test.go
+++ b/internal/rookpassd/holder/handover_test.go
@@ -15,7 +15,7 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// noJournal takes nothing: recoveries in these tests need no record.
+// noJournal rejects all entries. Recovering a partition without programs writes no record.
 type noJournal struct{}
 
 func (noJournal) Append(*journal.Entry) error { return journal.ErrSealed }
@@ -28,8 +28,8 @@
 	})
 }
 
-// TestOnlyANewerEpochReplacesAPartition: a partition was once claimed twice under one epoch, since the view of
-// the cluster lagged, and the second recovery replaced a shard in service.
+// TestOnlyANewerEpochReplacesAPartition guards against a second claim under the same epoch, from a stale cluster
+// view, that replaces a shard in service.
 func TestOnlyANewerEpochReplacesAPartition(t *testing.T) {
 	h := newHolder()
 	none := map[string]*program.Program{}
--- a/internal/rookpassd/holder/holder.go
+++ b/internal/rookpassd/holder/holder.go
@@ -1,8 +1,8 @@
-// Package holder runs the programs of the partitions that this daemon owns: it checks a call's order and
-// budget, makes it durable, sends it to a backend server and streams the answer.
+// Package holder runs the programs of the partitions that this daemon owns: it checks each call's sequence and
+// budget, journals the call where required, sends it to a backend server and streams the response.
 //
-// All of a partition's state stands in one shard under one lock; no input or output happens under it.
-// State changes only when the journal says that the records are durable.
+// All state of a partition is in one shard, guarded by one lock that is not held during I/O. Program state
+// changes only after the journal has made the records durable.
 package holder
 
 import (
@@ -23,13 +23,13 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// Journal makes records durable; journal.Writer is the one in use.
+// Journal makes records durable. *journal.Writer implements it.
 type Journal interface {
-	// Append queues an entry; its order is the order of calls.
+	// Append queues an entry. Entries are written in the order of the Append calls.
 	Append(*journal.Entry) error
-	// Full tells whether new work should be refused.
+	// Full reports whether new work should be refused.
 	Full() bool
-	// Position returns the last segment whose entries are all applied.
+	// Position returns the number of the last segment whose entries have all been applied.
 	Position() uint64
 }
 
@@ -46,17 +46,17 @@
 	Prompt    []byte
 	MaxTokens int64
 	Priority  int32
-	// AttainedTokens is the service that the whole program has had.
+	// AttainedTokens is the number of tokens the program has spent so far.
 	AttainedTokens int64
-	// CachedOn are the engines that may have the program's cache.
+	// CachedOn lists the engines that may hold a cached prefix of the program.
 	CachedOn []string
-	// Exclude are engines on which this call broke off before.
+	// Exclude lists the engines on which earlier attempts of this call failed.
 	Exclude []string
 }
 
-// ModelResult is what a generation used.
+// ModelResult reports the engine and the token usage of a generation.
 type ModelResult struct {
-	// Backend is the engine that ran it and may hold cache for the program.
+	// Backend is the engine that ran the generation and may hold cache for the program.
 	Backend          string
 	PromptTokens     int64
 	CachedTokens     int64
@@ -76,68 +76,70 @@
 	Timeout      time.Duration
 }
 
-// ServiceResult is a service's answer.
+// ServiceResult is the response of a service.
 type ServiceResult struct {
 	Backend string
 	// Status is the HTTP status code.
 	Status int
 	Body   []byte
-	// CostTokens is what the answering backend server charges.
+	// CostTokens is the charge of the backend server that responded, in tokens.
 	CostTokens int64
 }
 
-// Runner reaches backend servers. Its errors carry a verdict: NotRun only if nothing left the daemon or the
-// backend server refused the request.
+// Runner sends calls to backend servers. Its errors carry a verdict, which is NotRun only if nothing was sent
+// or the backend server refused the request.
 type Runner interface {
-	// Model generates and passes the text on as it comes. On an error the result tells the engine and the
-	// tokens counted so far.
+	// Model runs a generation and passes each piece of text to the text function as it arrives. On error the
+	// result holds the engine, if one was assigned, and the tokens counted so far.
 	Model(ctx context.Context, call ModelCall, text func([]byte)) (ModelResult, error)
 	// Service sends one request.
 	Service(ctx context.Context, call ServiceCall) (ServiceResult, error)
-	// ServiceCost bounds what one call to a service charges.
+	// ServiceCost returns the highest charge of one call to a service, in tokens.
 	ServiceCost(service string) int64
 }
 
-// Reporter brings the outcome of a call that still ran at the old owner to the new one.
+// Reporter sends the outcome of a call to the new owner of its partition if the partition was handed over
+// while the call was running.
 type Reporter interface {
-	// Report returns once the present owner of the program's partition has made the outcome durable, with the
-	// call's final event (nil for an abandoned call).
+	// Report returns the call's final event, nil for an abandoned call, after the current owner of the program's
+	// partition has made the outcome durable.
 	Report(ctx context.Context, programID, executor string, outcome *peerv1.Record) (*rookpassv1.CallFinal, error)
 }
 
-// Spending sets tokens of an organisation's budget aside; *spending.Ledger implements it.
+// Spending reserves tokens of an organisation's budget. *spending.Ledger implements it.
 type Spending interface {
-	// Reserve refuses, or returns a function that must be called once with what the call cost.
+	// Reserve returns an error if the tokens can't be reserved. Otherwise the caller must call settle exactly once
+	// with the actual cost.
 	Reserve(ctx context.Context, organisation string, tokens int64) (settle func(cost int64), err error)
 }
 
-// Dependencies are what a Holder works with.
+// Dependencies holds the collaborators of a Holder.
 type Dependencies struct {
 	Journal Journal
 	Config  *config.Store
 	Runner  Runner
-	// Spending keeps organisations within their budgets.
+	// Spending enforces the budgets of organisations.
 	Spending Spending
 	Tracer   trace.Tracer
-	// Reporter reaches the new owner of a partition that was handed over.
+	// Reporter sends outcomes to the new owner of a partition that was handed over.
 	Reporter Reporter
 	// Partitions is the cluster's number of partitions.
 	Partitions uint32
-	// Incarnation is this daemon's life.
+	// Incarnation identifies the current incarnation of this daemon.
 	Incarnation string
 }
 
-// Holder owns shards. Use New.
+// Holder serves the partitions that this daemon owns. Use New.
 type Holder struct {
 	Dependencies
 	shards []atomic.Pointer[shard]
-	// lifetime ends when the incarnation is over: running calls are then cut off.
+	// lifetime is cancelled when the incarnation ends, which cancels running calls.
 	lifetime context.Context
 	running  sync.WaitGroup
 	stats    Stats
 }
 
-// Stats counts what a holder has done.
+// Stats holds the counters of a Holder.
 type Stats struct {
 	Calls    atomic.Int64
 	Replays  atomic.Int64
@@ -147,31 +149,30 @@
 	Unsettled atomic.Int64
 }
 
-// New returns a holder without shards. lifetime ends with the incarnation.
+// New returns a holder without shards. lifetime must be cancelled when the incarnation ends.
 func New(lifetime context.Context, deps Dependencies) *Holder {
 	return &Holder{Dependencies: deps, lifetime: lifetime, shards: make([]atomic.Pointer[shard], deps.Partitions)}
 }
 
-// Stats returns the counters.
 func (h *Holder) Stats() *Stats { return &h.stats }
 
-// shardOf returns the shard that holds a program, or a refusal when this daemon does not own it.
+// shardOf returns the shard of a program, or a NotOwner error if this daemon does not own its partition.
 func (h *Holder) shardOf(programID string) (*shard, error) {
 	number := program.PartitionOf(programID, h.Partitions)
 	if s := h.shards[number].Load(); s != nil {
 		return s, nil
 	}
-	return nil, verdict.RetryLater(verdict.NotOwner, ownerRetry, "partition %d is not here", number)
+	return nil, verdict.RetryLater(verdict.NotOwner, ownerRetry, "partition %d is not owned by this daemon", number)
 }
 
-// errMoved answers for a partition that is being handed over.
-var errMoved = verdict.RetryLater(verdict.NotOwner, ownerRetry, "partition is moving to another daemon")
+// errHandingOver is returned for a partition that is being handed over.
+var errHandingOver = verdict.RetryLater(verdict.NotOwner, ownerRetry, "partition is moving to another daemon")
 
-// ownerRetry is when to come back for a partition that is moving.
+// ownerRetry is the retry delay given to callers while a partition changes owner.
 const ownerRetry = 100 * time.Millisecond
 
-// Execute runs a request that the entry filters have let through. send is called with each event in order;
-// its error ends the stream but not the call.
+// Execute runs a request that has passed the entry filters. send is called with each event in order; an error
+// from it ends the stream but not the call.
 func (h *Holder) Execute(ctx context.Context, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteEvent) error) error {
 	s, err := h.shardOf(req.ProgramId)
 	if err != nil {
@@ -180,17 +181,17 @@
 	switch body := req.Request.(type) {
 	case *peerv1.ExecuteRequest_Start:
 		view, err := h.start(ctx, s, req, body.Start)
-		return answer(view, err, send)
+		return sendProgram(view, err, send)
 	case *peerv1.ExecuteRequest_Call:
 		return h.call(ctx, s, req, body.Call, send)
 	case *peerv1.ExecuteRequest_Resume:
 		return h.resume(ctx, s, req, body.Resume, send)
 	case *peerv1.ExecuteRequest_End:
 		view, err := h.end(ctx, s, req, body.End.Reason)
-		return answer(view, err, send)
+		return sendProgram(view, err, send)
 	case *peerv1.ExecuteRequest_Get:
 		view, err := s.get(req, !body.Get.Summary)
-		return answer(view, err, send)
+		return sendProgram(view, err, send)
 	case *peerv1.ExecuteRequest_Send:
 		return h.sendOnce(ctx, s, req, body.Send, send)
 	default:
@@ -198,12 +199,12 @@
 	}
 }
 
-// journalError turns the journal's refusal of records that were to precede an effect into an answer: the
-// effect did not happen.
+// journalError converts a journal error to a retryable error with the verdict NotRun. It is used for records
+// that must be durable before the request takes effect.
 func journalError(err error) error {
 	switch {
 	case errors.Is(err, journal.ErrFull):
-		return verdict.RetryLater(verdict.Unavailable, outageRetry, "object API is away and the journal is full")
+		return verdict.RetryLater(verdict.Unavailable, outageRetry, "object API is unavailable and the journal is full")
 	case errors.Is(err, journal.ErrSealed):
 		return verdict.RetryLater(verdict.NotOwner, ownerRetry, "another daemon took over")
 	default:
@@ -211,11 +212,11 @@
 	}
 }
 
-// outageRetry is when to come back while the object API does not take writes.
+// outageRetry is the retry delay given to callers while the object API does not accept writes.
 const outageRetry = 2 * time.Second
 
-// commit appends records under the shard's lock and waits until they are durable. The caller must not hold
-// the lock. records is called under the lock and may refuse.
+// commit appends records and waits until they are durable. The caller must not hold the shard's lock. records
+// is called with the lock held; its error is returned.
 func (h *Holder) commit(ctx context.Context, s *shard, records func() ([]*peerv1.Record, error)) error {
 	entry, err := h.append(s, records)
 	if err != nil {
@@ -225,16 +226,16 @@
 		entry.Apply()
 		return nil
 	}
-	return untilDurable(ctx, entry)
+	return awaitDurable(ctx, entry)
 }
 
-// append queues records and arranges that they are applied to the shard once durable. Without records it
-// returns the latest entry, which may be nil.
+// append queues records, which are applied to the shard once durable. If there are no records, it returns the
+// latest entry, which may be nil.
 func (h *Holder) append(s *shard, records func() ([]*peerv1.Record, error)) (*journal.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return nil, errMoved
+		return nil, errHandingOver
 	}
 	list, err := records()
 	if err != nil || len(list) == 0 {
@@ -250,9 +251,9 @@
 	return entry, nil
 }
 
-// untilDurable returns once an entry's fate is known or ctx ends; in the latter case the entry may yet become
-// durable.
-func untilDurable(ctx context.Context, entry *journal.Entry) error {
+// awaitDurable waits until the outcome of an entry is known or ctx ends. After ctx has ended, the entry may still
+// become durable.
+func awaitDurable(ctx context.Context, entry *journal.Entry) error {
 	if entry == nil {
 		return nil
 	}
@@ -263,6 +264,6 @@
 		}
 		return nil
 	case <-ctx.Done():
-		return verdict.Unknown(verdict.Timeout, outageRetry, "deadline passed before the answer was durable")
+		return verdict.Unknown(verdict.Timeout, outageRetry, "deadline exceeded before the outcome was durable")
 	}
 }
--- a/internal/rookpassd/holder/holds.go
+++ b/internal/rookpassd/holder/holds.go
@@ -13,7 +13,7 @@
 	Backends []string
 }
 
-// Held returns the ended programs of this daemon whose cache is not known to be released.
+// Held returns the ended programs of this daemon whose cache has not been confirmed as released.
 func (h *Holder) Held() []EndedProgram {
 	var held []EndedProgram
 	for i := range h.shards {
@@ -36,7 +36,7 @@
 	return held
 }
 
-// Released records that backend servers confirmed that they hold no cache for a program.
+// Released records durably that backend servers have confirmed the release of a program's cache.
 func (h *Holder) Released(ctx context.Context, programID string, backends []string) error {
 	s, err := h.shardOf(programID)
 	if err != nil {
@@ -57,20 +57,20 @@
 	})
 }
 
-// Ended returns which of some programs need no engine cache any more: they have ended or are unknown to the
-// owner of their partition, which is this daemon. Programs of other partitions are not in it.
+// Ended returns those of the given programs whose engine cache can be released: programs in partitions of this
+// daemon that have ended or are unknown. Programs in other partitions are omitted.
 func (h *Holder) Ended(programs []string) []string {
 	var ended []string
 	for _, id := range programs {
 		s := h.shards[program.PartitionOf(id, h.Partitions)].Load()
-		if s != nil && s.needsNoCache(id) {
+		if s != nil && s.canReleaseCache(id) {
 			ended = append(ended, id)
 		}
 	}
 	return ended
 }
 
-func (s *shard) needsNoCache(id string) bool {
+func (s *shard) canReleaseCache(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
--- a/internal/rookpassd/holder/lifecycle.go
+++ b/internal/rookpassd/holder/lifecycle.go
@@ -9,7 +9,7 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/journal"
 )
 
-// start makes a new program durable, or returns the one started earlier under the same id.
+// start starts a program durably, or returns the program that was started earlier with the same id.
 func (h *Holder) start(ctx context.Context, s *shard, req *peerv1.ExecuteRequest, start *rookpassv1.StartProgramRequest) (*rookpassv1.Program, error) {
 	started, err := h.newProgram(req.Organisation, start)
 	if err != nil {
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	if entry != nil {
-		if err := untilDurable(ctx, entry); err != nil {
+		if err := awaitDurable(ctx, entry); err != nil {
 			return nil, err
 		}
 	}
@@ -32,13 +32,13 @@
 		return nil, err
 	}
 	if view.Definition != start.Definition {
-		return nil, verdict.Refuse(verdict.Conflict, "idempotency key was used for definition %q", view.Definition)
+		return nil, verdict.Refuse(verdict.Conflict, "idempotency key was already used for definition %q", view.Definition)
 	}
 	return view, nil
 }
 
-// startEntry appends the start, or returns the entry of a start that is under way. It returns nil when the
-// program has been started.
+// startEntry appends the start of a program, or returns the entry of an earlier start of the same program. The
+// entry is nil if the program was recovered or adopted.
 func (h *Holder) startEntry(s *shard, id string, started *peerv1.Started) (*journal.Entry, error) {
 	s.mu.Lock()
 	l := s.programs[id]
@@ -62,7 +62,7 @@
 	return entry, nil
 }
 
-// newProgram checks a start against the program's definition.
+// newProgram validates a start request against its definition and returns the start record.
 func (h *Holder) newProgram(organisation string, start *rookpassv1.StartProgramRequest) (*peerv1.Started, error) {
 	definition := h.Config.View().Definitions[start.Definition]
 	if definition == nil {
@@ -89,9 +89,9 @@
 	}, nil
 }
 
-// end ends a program and its sub-agents, and cuts off their running calls. Repeated ends change nothing.
+// end ends a program and its sub-agents and cancels their running calls. It is idempotent.
 func (h *Holder) end(ctx context.Context, s *shard, req *peerv1.ExecuteRequest, reason string) (*rookpassv1.Program, error) {
-	var ending []*live
+	var ending []*programState
 	entry, err := h.append(s, func() ([]*peerv1.Record, error) {
 		l, err := s.find(req.Organisation, req.ProgramId)
 		if err != nil || l.ending {
@@ -108,14 +108,14 @@
 		return nil, err
 	}
 	s.markEnding(ending)
-	if err := untilDurable(ctx, entry); err != nil {
+	if err := awaitDurable(ctx, entry); err != nil {
 		return nil, err
 	}
 	return s.get(req, true)
 }
 
-// markEnding lets no further call of the programs in, and cuts off those that run.
-func (s *shard) markEnding(programs []*live) {
+// markEnding blocks new calls of the programs and cancels their running calls.
+func (s *shard) markEnding(programs []*programState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range programs {
@@ -126,9 +126,9 @@
 	}
 }
 
-// endRecords returns the records that end a program and give back to its parent what it did not spend.
-// What a call still under way may cost is not given back.
-func (s *shard) endRecords(l *live, reason string) []*peerv1.Record {
+// endRecords returns the records that end a program and refund its remaining budget to its parent. There is no
+// refund while a call is running, because its cost is not known yet.
+func (s *shard) endRecords(l *programState, reason string) []*peerv1.Record {
 	records := []*peerv1.Record{{
 		ProgramId: l.ID(),
 		Change:    &peerv1.Record_Ended{Ended: &peerv1.Ended{Reason: reason}},
--- a/internal/rookpassd/holder/run.go
+++ b/internal/rookpassd/holder/run.go
@@ -9,23 +9,23 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// maxOutputBytes bounds one call's answer, so that its record fits into a segment.
+// maxOutputBytes limits the output of one call, so that its record fits into a segment.
 const maxOutputBytes = 512 << 10
 
-// chunkBytes is the most that one event of a stored answer carries.
+// chunkBytes is the maximum size of one event when stored output is replayed.
 const chunkBytes = 64 << 10
 
-// run is one call under way. Any number of callers can follow it.
+// run is a running call. Any number of callers can follow it.
 type run struct {
 	call   *rookpassv1.CallRequest
 	cancel context.CancelFunc
-	// remote marks a call that still runs at an earlier owner of the partition, which will report its outcome.
+	// remote marks a call that runs at an earlier owner of the partition, which will report its outcome.
 	remote bool
 
 	mu     sync.Mutex
 	output []byte
 	final  *rookpassv1.CallFinal
-	// finished is the whole record, for those who need more than the final event.
+	// finished is the stored record of the call; nil if there is none.
 	finished *peerv1.Finished
 	err      error
 	done     bool
@@ -36,31 +36,31 @@
 	return &run{call: call, cancel: cancel, changed: make(chan struct{})}
 }
 
-// write adds text to the answer and wakes those who follow it.
+// write appends text to the output, up to maxOutputBytes, and wakes the followers.
 func (r *run) write(text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	room := maxOutputBytes - len(r.output)
 	r.output = append(r.output, text[:min(room, len(text))]...)
-	r.wake()
+	r.notify()
 }
 
-// text returns the answer so far.
+// text returns the output so far.
 func (r *run) text() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.output[:len(r.output):len(r.output)]
 }
 
-// conclude ends the run with its record and final event, or with an error.
-func (r *run) conclude(finished *peerv1.Finished, final *rookpassv1.CallFinal, err error) {
+// complete ends the run with its record and final event, or with an error.
+func (r *run) complete(finished *peerv1.Finished, final *rookpassv1.CallFinal, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.finished, r.final, r.err, r.done = finished, final, err, true
-	r.wake()
+	r.notify()
 }
 
-// await returns the record of the run once it has ended.
+// await waits until the run has ended and returns its record.
 func (r *run) await(ctx context.Context) (*peerv1.Finished, error) {
 	ignore := func(*peerv1.ExecuteEvent) error { return nil }
 	if err := r.follow(ctx, 0, ignore); err != nil {
@@ -69,13 +69,14 @@
 	return r.finished, nil
 }
 
-func (r *run) wake() {
+func (r *run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// after returns what follows an offset, and the channel that tells of more.
-func (r *run) after(offset int) (text []byte, done bool, changed <-chan struct{}) {
+// outputFrom returns the output from an offset on, whether the run has ended, and a channel that is closed at the
+// next change.
+func (r *run) outputFrom(offset int) (text []byte, done bool, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if offset < len(r.output) {
@@ -84,10 +85,10 @@
 	return text, r.done, r.changed
 }
 
-// follow sends the answer from an offset until it is whole.
+// follow sends the output from an offset on until the run ends, then the final event or the run's error.
 func (r *run) follow(ctx context.Context, offset int, send func(*peerv1.ExecuteEvent) error) error {
 	for {
-		text, done, changed := r.after(offset)
+		text, done, changed := r.outputFrom(offset)
 		if len(text) > 0 {
 			if err := send(chunkEvent(offset, text)); err != nil {
 				return err
@@ -104,12 +105,12 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return verdict.Unknown(verdict.Timeout, ownerRetry, "deadline passed; the call goes on")
+			return verdict.Unknown(verdict.Timeout, ownerRetry, "deadline exceeded; the call is still running")
 		}
 	}
 }
 
-// replay sends a stored answer from an offset.
+// replay sends the stored output of a finished call from an offset on, then the final event.
 func replay(finished *peerv1.Finished, final *rookpassv1.CallFinal, offset int, send func(*peerv1.ExecuteEvent) error) error {
 	for offset < len(finished.Output) {
 		end := min(offset+chunkBytes, len(finished.Output))
@@ -134,7 +135,7 @@
 	return &peerv1.ExecuteEvent{Event: &peerv1.ExecuteEvent_Call{Call: event}}
 }
 
-func answer(view *rookpassv1.Program, err error, send func(*peerv1.ExecuteEvent) error) error {
+func sendProgram(view *rookpassv1.Program, err error, send func(*peerv1.ExecuteEvent) error) error {
 	if err != nil {
 		return err
 	}
--- a/internal/rookpassd/holder/send.go
+++ b/internal/rookpassd/holder/send.go
@@ -10,8 +10,8 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/journal"
 )
 
-// sendOnce runs a plain request that must not be repeated. It is kept as a program of one call, so that a
-// repeat with the same request id, at any daemon, gets the same answer.
+// sendOnce runs a non-idempotent plain request. The request is stored as a program with a single call, so that a
+// retry with the same request id gets the same response from any daemon.
 func (h *Holder) sendOnce(ctx context.Context, s *shard, req *peerv1.ExecuteRequest, body *rookpassv1.SendRequest, send func(*peerv1.ExecuteEvent) error) error {
 	call := &rookpassv1.CallRequest{
 		ProgramId: req.ProgramId,
@@ -37,12 +37,12 @@
 	return send(&peerv1.ExecuteEvent{Event: &peerv1.ExecuteEvent_Sent{Sent: sent}})
 }
 
-// admitSend is admit for a plain request.
+// admitSend is the counterpart of admit for plain requests.
 func (h *Holder) admitSend(ctx context.Context, s *shard, req *peerv1.ExecuteRequest, call *rookpassv1.CallRequest, body *rookpassv1.SendRequest) (*peerv1.Finished, *run, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return nil, nil, errMoved
+		return nil, nil, errHandingOver
 	}
 	if l := s.programs[req.ProgramId]; l != nil {
 		if finished := l.Finished(call.RequestId); finished != nil {
@@ -59,7 +59,7 @@
 	return nil, h.launchSend(ctx, s, l, req.Organisation, call, body), nil
 }
 
-func (h *Holder) launchSend(ctx context.Context, s *shard, l *live, organisation string, call *rookpassv1.CallRequest, body *rookpassv1.SendRequest) *run {
+func (h *Holder) launchSend(ctx context.Context, s *shard, l *programState, organisation string, call *rookpassv1.CallRequest, body *rookpassv1.SendRequest) *run {
 	runCtx, cancel := h.runContext(ctx)
 	r := newRun(call, cancel)
 	l.running = r
@@ -69,14 +69,14 @@
 		s.mu.Lock()
 		l.running = nil
 		s.mu.Unlock()
-		r.conclude(finished, nil, err)
+		r.complete(finished, nil, err)
 	})
 	return r
 }
 
-// sendRecorded makes the request durable, sends it and makes its answer durable.
-func (h *Holder) sendRecorded(ctx context.Context, s *shard, l *live, organisation string, r *run, body *rookpassv1.SendRequest) (*peerv1.Finished, error) {
-	if err := h.intendSend(ctx, s, l, organisation, r.call); err != nil {
+// sendRecorded makes the intent to send a request durable, sends it and makes its outcome durable.
+func (h *Holder) sendRecorded(ctx context.Context, s *shard, l *programState, organisation string, r *run, body *rookpassv1.SendRequest) (*peerv1.Finished, error) {
+	if err := h.recordSendIntent(ctx, s, l, organisation, r.call); err != nil {
 		return nil, err
 	}
 	result, err := h.Runner.Service(ctx, ServiceCall{
@@ -105,8 +105,8 @@
 	return finished, err
 }
 
-// intendSend makes a plain request durable before it leaves.
-func (h *Holder) intendSend(ctx context.Context, s *shard, l *live, organisation string, call *rookpassv1.CallRequest) error {
+// recordSendIntent makes the intent to send a plain request durable.
+func (h *Holder) recordSendIntent(ctx context.Context, s *shard, l *programState, organisation string, call *rookpassv1.CallRequest) error {
 	return h.commit(ctx, s, func() ([]*peerv1.Record, error) {
 		intended := &peerv1.Record{ProgramId: l.ID(), Change: &peerv1.Record_Intended{
 			Intended: &peerv1.Intended{Call: call},
@@ -119,7 +119,7 @@
 	})
 }
 
-// statusOf returns the HTTP status of a plain service's answer.
+// statusOf returns the HTTP status of a plain service's response, 200 if none was stored.
 func statusOf(finished *peerv1.Finished) int32 {
 	if finished.Status == 0 {
 		return http.StatusOK
--- a/internal/rookpassd/holder/service.go
+++ b/internal/rookpassd/holder/service.go
@@ -12,7 +12,7 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// defaultServiceTimeout bounds a service call whose definition names no bound.
+// defaultServiceTimeout applies if a definition sets no service timeout.
 const defaultServiceTimeout = 30 * time.Second
 
 // Kinds of services.
@@ -21,10 +21,10 @@
 	KindPlain = "plain"
 )
 
-// callService sends a call to a tool service or plain service. One that must not be repeated is made
-// durable first; from then on it is never sent again, whoever owns the program.
-func (h *Holder) callService(ctx context.Context, s *shard, l *live, r *run, worst int64) (*peerv1.Record, error) {
-	prepare := h.intend
+// callService sends a call to a tool service or plain service. The intent to send a non-idempotent call is made
+// durable first, so that a later owner of the program does not send it again.
+func (h *Holder) callService(ctx context.Context, s *shard, l *programState, r *run, worst int64) (*peerv1.Record, error) {
+	prepare := h.recordIntent
 	if r.call.Idempotent || !guard.Enabled(guard.IntentRecord) {
 		prepare = h.reserve
 	}
@@ -43,7 +43,7 @@
 	}
 	if verdict.Of(err).Verdict == verdict.NotRun {
 		settleBudget(0)
-		// If this record is lost, a new owner closes the call as "may have run"; the refusal stays true.
+		// If this record is lost, a new owner closes the call as "may have run".
 		return abandonedRecord(l.ID(), r.call, 0), err
 	}
 	settleBudget(worst)
@@ -55,7 +55,7 @@
 	}), nil
 }
 
-func (h *Holder) serviceCall(l *live, call *rookpassv1.CallRequest) ServiceCall {
+func (h *Holder) serviceCall(l *programState, call *rookpassv1.CallRequest) ServiceCall {
 	timeout := defaultServiceTimeout
 	if definition := h.Config.View().Definitions[l.Definition()]; definition.GetServiceTimeoutMs() > 0 {
 		timeout = time.Duration(definition.ServiceTimeoutMs) * time.Millisecond
@@ -76,8 +76,7 @@
 	}
 }
 
-// serviceFinished returns the record of a service's answer. An answer with an error status is an answer:
-// the call ran.
+// serviceFinished returns the record of a service's response. A call with an error status has run, too.
 func serviceFinished(r *run, result ServiceResult) *peerv1.Finished {
 	finished := &peerv1.Finished{
 		Call:       r.call,
@@ -87,7 +86,7 @@
 		Status:     int32(result.Status),
 	}
 	if result.Status >= http.StatusBadRequest {
-		finished.Failure = fmt.Sprintf("service answered %d", result.Status)
+		finished.Failure = fmt.Sprintf("service returned status %d", result.Status)
 	}
 	return finished
 }
--- a/internal/rookpassd/holder/shard.go
+++ b/internal/rookpassd/holder/shard.go
@@ -12,56 +12,56 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// shard is one owned partition.
+// shard is the state of one partition that this daemon owns.
 type shard struct {
 	number uint32
 	epoch  uint64
 
 	mu       sync.Mutex
-	programs map[string]*live
-	// closed is set when the partition is being handed over: nothing more is appended here.
+	programs map[string]*programState
+	// closed is set during a hand-over and after the partition was dropped: no more records are accepted.
 	closed bool
-	// last is the latest entry appended; when it is done, all before it are.
+	// last is the latest entry appended. Entries complete in order.
 	last *journal.Entry
 }
 
-// live is one program in memory.
-type live struct {
+// programState is a program with its in-memory state.
+type programState struct {
 	*program.Program
-	// assigned is the index of the latest record appended; the program's own index follows once durable.
+	// assigned is the index of the latest record appended. The program's own index advances once it is durable.
 	assigned uint64
-	// starting is the entry that starts the program, until it is applied.
+	// starting is the entry that starts the program; nil if the program was recovered or adopted.
 	starting *journal.Entry
-	// running is the call under way, nil when there is none.
+	// running is the running call, or nil.
 	running *run
-	// reported is the entry that closes a call at another daemon, until it is applied.
+	// reported is the entry that closes a call at another daemon, until the call's run is completed.
 	reported *journal.Entry
-	// ending is set once an end has been appended.
+	// ending is set once the end of the program has been appended.
 	ending bool
 }
 
 func newShard(number uint32, epoch uint64) *shard {
-	return &shard{number: number, epoch: epoch, programs: map[string]*live{}}
+	return &shard{number: number, epoch: epoch, programs: map[string]*programState{}}
 }
 
-// add puts a recovered program into the shard.
-func (s *shard) add(p *program.Program) *live {
-	l := &live{Program: p, assigned: p.Snapshot().Index, ending: p.Ended()}
+// add adds a program to the shard.
+func (s *shard) add(p *program.Program) *programState {
+	l := &programState{Program: p, assigned: p.Snapshot().Index, ending: p.Ended()}
 	s.programs[p.ID()] = l
 	return l
 }
 
-// ensure returns the program with an id, adding an empty one when there is none.
-func (s *shard) ensure(id string) *live {
+// ensure returns the program with an id. It adds an empty program if there is none.
+func (s *shard) ensure(id string) *programState {
 	if l := s.programs[id]; l != nil {
 		return l
 	}
 	return s.add(program.New(id))
 }
 
-// find returns an organisation's program. Another organisation's program is answered as one that does not
-// exist.
-func (s *shard) find(organisation, id string) (*live, error) {
+// find returns a program of an organisation. It returns the same NotFound error for a program of another
+// organisation as for an unknown one.
+func (s *shard) find(organisation, id string) (*programState, error) {
 	l := s.programs[id]
 	if l == nil || !l.Exists() || l.Organisation() != organisation || l.Snapshot().Started.SingleRequest {
 		return nil, verdict.Refuse(verdict.NotFound, "no program %q", id)
@@ -69,7 +69,7 @@
 	return l, nil
 }
 
-// assign gives records their partition, epoch and index.
+// assign sets the partition, epoch and index of records.
 func (s *shard) assign(records []*peerv1.Record) {
 	for _, record := range records {
 		l := s.ensure(record.ProgramId)
@@ -78,7 +78,7 @@
 	}
 }
 
-// unassign takes assign back for records that the journal did not take.
+// unassign undoes assign for records that the journal rejected.
 func (s *shard) unassign(records []*peerv1.Record) {
 	for _, record := range records {
 		l := s.programs[record.ProgramId]
@@ -89,7 +89,7 @@
 	}
 }
 
-// apply changes the programs by durable records. The journal's goroutine calls it.
+// apply applies durable records to the programs. It is called by the journal's goroutine.
 func (s *shard) apply(records []*peerv1.Record) {
 	now := time.Now().UnixMilli()
 	s.mu.Lock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// get returns a program as its caller sees it.
+// get returns the caller-visible view of a program.
 func (s *shard) get(req *peerv1.ExecuteRequest, withHistory bool) (*rookpassv1.Program, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +112,7 @@
 	return l.View(withHistory), nil
 }
 
-// descendants returns the ids of a program's running sub-agents, deepest first.
+// descendants returns the ids of a program's sub-agents, at all levels, that have not ended, longest id first.
 func (s *shard) descendants(id string) []string {
 	var found []string
 	for other, l := range s.programs {
