--- a/internal/rookpassd/filter/admit.go
+++ b/internal/rookpassd/filter/admit.go
@@ -9,16 +9,16 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/config"
 )
 
-// staleRetry is when to come back to a daemon whose configuration may be old.
+// staleRetry is the retry delay given to callers while the configuration may be stale.
 const staleRetry = 5 * time.Second
 
-// WithAdmission refuses new work while this daemon's configuration may be out of date, and requests for what
-// the organisation may not use.
+// WithAdmission refuses all requests while this daemon's configuration is older than maxAge, and requests for
+// definitions or plain services that the organisation may not use.
 func WithAdmission(store *config.Store, maxAge time.Duration) Filter {
 	return func(next Handler) Handler {
 		return func(ctx context.Context, r *Request, send Send) error {
 			if !store.Fresh(maxAge) {
-				return verdict.RetryLater(verdict.Unavailable, staleRetry, "configuration could not be confirmed for %v", maxAge)
+				return verdict.RetryLater(verdict.Unavailable, staleRetry, "configuration has not been confirmed for %v", maxAge)
 			}
 			organisation := store.View().Organisations[r.Organisation]
 			if start := r.Execute.GetStart(); start != nil && !slices.Contains(organisation.GetDefinitions(), start.Definition) {
--- a/internal/rookpassd/filter/authenticate.go
+++ b/internal/rookpassd/filter/authenticate.go
@@ -8,8 +8,8 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// WithAuthentication proves the caller's organisation and names the program in its name: the ids of starts
-// and plain requests follow from the organisation and the caller's key.
+// WithAuthentication authenticates the caller's organisation and sets it on the request. For starts and plain
+// requests it also derives the program id from the organisation and the idempotency key or request id.
 func WithAuthentication(store *config.Store) Filter {
 	return func(next Handler) Handler {
 		return func(ctx context.Context, r *Request, send Send) error {
--- a/internal/rookpassd/filter/filter.go
+++ b/internal/rookpassd/filter/filter.go
@@ -1,7 +1,7 @@
-// Package filter is the chain that each caller's request passes before it is routed. A filter has one job: it
-// refuses a request, or passes it on with what it learnt.
+// Package filter implements the chain of filters that each caller's request passes before it is routed. A filter
+// refuses a request or passes it on, possibly with fields added.
 //
-// Order and budget are not here: only the owner of a program can decide on them, so they stand in the holder.
+// Call sequence and budget are checked in package holder, because only the owner of a program knows them.
 package filter
 
 import (
@@ -13,15 +13,15 @@
 
 // Request is a caller's request on its way through the chain.
 type Request struct {
-	// Authorization is the header as it came.
+	// Authorization is the unmodified authorization header.
 	Authorization string
 	// Organisation is set by WithAuthentication.
 	Organisation string
-	// Execute is what the owner of the program will run. Its organisation and program id are set by the chain.
+	// Execute is the request to the owner of the program. The chain sets its organisation and program id.
 	Execute *peerv1.ExecuteRequest
 }
 
-// Send delivers one event of the answer. Its error ends the stream.
+// Send delivers one event of the response. An error ends the stream.
 type Send func(*peerv1.ExecuteEvent) error
 
 // Handler serves a request.
@@ -52,7 +52,7 @@
 	}}
 }
 
-// Resume returns the request that follows a call.
+// Resume returns the request that streams the output of a running or finished call.
 func Resume(authorization string, body *rookpassv1.ResumeRequest) *Request {
 	return &Request{Authorization: authorization, Execute: &peerv1.ExecuteRequest{
 		ProgramId: body.ProgramId, Request: &peerv1.ExecuteRequest_Resume{Resume: body},
@@ -73,7 +73,7 @@
 	}}
 }
 
-// Plain returns the request for one call to a plain service outside programs.
+// Plain returns the request for one call to a plain service, outside of any program.
 func Plain(authorization string, body *rookpassv1.SendRequest) *Request {
 	return &Request{Authorization: authorization, Execute: &peerv1.ExecuteRequest{
 		Request: &peerv1.ExecuteRequest_Send{Send: body},
--- a/internal/rookpassd/filter/limit.go
+++ b/internal/rookpassd/filter/limit.go
@@ -9,23 +9,23 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/config"
 )
 
-// defaultMaxCalls bounds an organisation that names no bound.
+// defaultMaxCalls applies to organisations without a configured limit.
 const defaultMaxCalls = 64
 
-// limitRetry is when to come back after the bound was reached.
+// limitRetry is the retry delay given to callers when the limit is reached.
 const limitRetry = 200 * time.Millisecond
 
-// Limits counts the requests that each organisation has in this daemon.
+// Limits counts the concurrent requests of each organisation at this daemon.
 type Limits struct {
 	mu     sync.Mutex
 	counts map[string]int32
 }
 
-// NewLimits returns counters at zero.
+// NewLimits returns Limits without any requests.
 func NewLimits() *Limits { return &Limits{counts: map[string]int32{}} }
 
-// enter counts a request unless the bound is reached.
-func (l *Limits) enter(organisation string, bound int32) bool {
+// acquire counts a request. It returns false if the limit is reached.
+func (l *Limits) acquire(organisation string, bound int32) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.counts[organisation] >= bound {
@@ -35,7 +35,7 @@
 	return true
 }
 
-func (l *Limits) leave(organisation string) {
+func (l *Limits) release(organisation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts[organisation]--
@@ -44,8 +44,8 @@
 	}
 }
 
-// WithLimits bounds the requests that an organisation has in this daemon at once, running and waiting, so
-// that none takes the memory and streams of the others.
+// WithLimits limits the concurrent requests of each organisation at this daemon, running and queued, so that no
+// organisation exhausts the memory and streams of the others.
 func WithLimits(store *config.Store, limits *Limits) Filter {
 	return func(next Handler) Handler {
 		return func(ctx context.Context, r *Request, send Send) error {
@@ -53,16 +53,16 @@
 			if bound == 0 {
 				bound = defaultMaxCalls
 			}
-			if !limits.enter(r.Organisation, bound) {
-				return verdict.RetryLater(verdict.Overloaded, limitRetry, "organisation has its %d calls here", bound)
+			if !limits.acquire(r.Organisation, bound) {
+				return verdict.RetryLater(verdict.Overloaded, limitRetry, "organisation has reached its limit of %d concurrent calls at this daemon", bound)
 			}
-			defer limits.leave(r.Organisation)
+			defer limits.release(r.Organisation)
 			return next(ctx, r, send)
 		}
 	}
 }
 
-// Organisations returns how many organisations have requests here now.
+// Organisations returns the number of organisations with requests in progress at this daemon.
 func (l *Limits) Organisations() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rookpassd/filter/trace.go
+++ b/internal/rookpassd/filter/trace.go
@@ -10,7 +10,7 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// WithTrace makes the span of a request's entry. A request's whole path is found by rookpass.request_id.
+// WithTrace starts the "entry" span of a request. The spans of one request share rookpass.request_id.
 func WithTrace(tracer trace.Tracer) Filter {
 	return func(next Handler) Handler {
 		return func(ctx context.Context, r *Request, send Send) error {
--- a/internal/rookpassd/filter/validate.go
+++ b/internal/rookpassd/filter/validate.go
@@ -7,19 +7,18 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// Bounds on what callers send, in bytes.
+// Limits on request fields.
 const (
 	maxIDBytes     = 128
 	maxReasonBytes = 256
 	maxInputBytes  = 256 << 10
 	maxPathBytes   = 2048
 	maxPriority    = 9
-	// maxMaxTokens keeps an answer within what one call may give.
+	// maxMaxTokens is the largest max_tokens of one call.
 	maxMaxTokens = 1 << 17
 )
 
-// WithValidation refuses requests whose fields are missing or out of bounds, before anything else looks at
-// them.
+// WithValidation refuses requests with missing or out-of-range fields.
 func WithValidation() Filter {
 	return func(next Handler) Handler {
 		return func(ctx context.Context, r *Request, send Send) error {
