--- a/internal/rookpassd/entry/caller.go
+++ b/internal/rookpassd/entry/caller.go
@@ -1,5 +1,5 @@
-// Package entry holds the servers that callers and other daemons reach: gRPC for programs, HTTP for plain
-// lookups, health and metrics.
+// Package entry implements the servers for callers and other daemons: gRPC for programs and forwarded requests,
+// HTTP for plain requests, health and metrics.
 package entry
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/filter"
 )
 
-// Caller implements the Caller service. Use NewCaller.
+// Caller implements the gRPC service Caller. Use NewCaller.
 type Caller struct {
 	rookpassv1.UnimplementedCallerServer
 	chain filter.Handler
@@ -23,7 +23,7 @@
 // NewCaller returns a server that passes each request through the chain.
 func NewCaller(chain filter.Handler) *Caller { return &Caller{chain: chain} }
 
-// Authorization returns the authorization header of a gRPC request.
+// Authorization returns the authorization header of a gRPC request, or "" unless there is exactly one.
 func Authorization(ctx context.Context) string {
 	values := metadata.ValueFromIncomingContext(ctx, "authorization")
 	if len(values) != 1 {
@@ -63,7 +63,7 @@
 	return response, verdict.GRPC(err)
 }
 
-// program runs a request that is answered by a program.
+// program runs a request whose response is a program.
 func (c *Caller) program(ctx context.Context, r *filter.Request) (*rookpassv1.Program, error) {
 	var view *rookpassv1.Program
 	err := c.chain(ctx, r, func(event *peerv1.ExecuteEvent) error {
@@ -71,12 +71,12 @@
 		return nil
 	})
 	if err == nil && view == nil {
-		err = verdict.Unknown(verdict.Lost, 0, "owner gave no program")
+		err = verdict.Unknown(verdict.Lost, 0, "owner returned no program")
 	}
 	return view, verdict.GRPC(err)
 }
 
-// stream runs a request that is answered by call events.
+// stream runs a request whose response is a stream of call events.
 func (c *Caller) stream(r *filter.Request, stream grpc.ServerStreamingServer[rookpassv1.CallEvent]) error {
 	err := c.chain(stream.Context(), r, func(event *peerv1.ExecuteEvent) error {
 		return stream.Send(event.GetCall())
@@ -92,7 +92,7 @@
 		return nil
 	})
 	if err == nil && response == nil {
-		err = verdict.Unknown(verdict.Lost, 0, "no answer was given")
+		err = verdict.Unknown(verdict.Lost, 0, "no response was returned")
 	}
 	return response, err
 }
--- a/internal/rookpassd/entry/forward.go
+++ b/internal/rookpassd/entry/forward.go
@@ -9,23 +9,23 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// Executor serves the partitions of this daemon.
+// Executor runs requests for programs in the partitions of this daemon.
 type Executor interface {
 	Execute(ctx context.Context, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteEvent) error) error
 }
 
-// ForwardServer implements the Holder service for requests that other daemons forward. The peers' connections
-// are mutually authenticated; the organisation they name is the one they authenticated.
+// ForwardServer implements the gRPC service Holder for requests that other daemons forward. Connections between
+// daemons are mutually authenticated, so the organisation named by the forwarding daemon is trusted.
 type ForwardServer struct {
 	peerv1.UnimplementedHolderServer
-	// Executor returns the present incarnation's holder.
+	// Executor returns the holder of the current incarnation.
 	Executor func() Executor
 }
 
 // Execute implements peerv1.HolderServer.
 func (f *ForwardServer) Execute(req *peerv1.ExecuteRequest, stream grpc.ServerStreamingServer[peerv1.ExecuteEvent]) error {
 	if req.Organisation == "" || req.ProgramId == "" {
-		return verdict.GRPC(verdict.Refuse(verdict.Invalid, "forwarded request names no organisation or program"))
+		return verdict.GRPC(verdict.Refuse(verdict.Invalid, "forwarded request has no organisation or program id"))
 	}
 	return verdict.GRPC(f.Executor().Execute(stream.Context(), req, stream.Send))
 }
--- a/internal/rookpassd/entry/http.go
+++ b/internal/rookpassd/entry/http.go
@@ -24,13 +24,13 @@
 	codeHeader      = "X-Rookpass-Code"
 )
 
-// HTTP serves plain lookups, health and metrics.
+// HTTP serves plain requests, health and metrics.
 type HTTP struct {
 	chain filter.Handler
 	ready func() error
 }
 
-// NewHTTP returns a server. ready returns why the daemon should get no new callers, or nil.
+// NewHTTP returns a server. ready returns an error while the daemon should receive no new callers.
 func NewHTTP(chain filter.Handler, ready func() error) *HTTP {
 	return &HTTP{chain: chain, ready: ready}
 }
@@ -53,8 +53,8 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// plain sends GET requests as lookups and any other as a request that must not be repeated. The latter need
-// a request id.
+// plain treats GET requests as idempotent lookups and all others as non-idempotent requests. The latter need a
+// request id.
 func (h *HTTP) plain(ctx *fasthttp.RequestCtx) {
 	service, _ := ctx.UserValue("service").(string)
 	path, _ := ctx.UserValue("path").(string)
--- a/internal/rookpassd/entry/plain.go
+++ b/internal/rookpassd/entry/plain.go
@@ -10,16 +10,16 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/holder"
 )
 
-// lookupTimeout bounds a plain lookup whose caller sets no deadline.
+// lookupTimeout limits a plain lookup.
 const lookupTimeout = 10 * time.Second
 
-// Services sends requests to plain services; *backend.Runner implements it.
+// Services sends requests to plain services. *backend.Runner implements it.
 type Services interface {
 	Service(ctx context.Context, call holder.ServiceCall) (holder.ServiceResult, error)
 }
 
-// WithLookups serves idempotent plain requests at this daemon: nothing needs to be kept of them. All other
-// requests go on to the owner of their program.
+// WithLookups serves idempotent plain requests at this daemon, because they need no durable state. All other
+// requests are passed on.
 func WithLookups(services Services) filter.Filter {
 	return func(next filter.Handler) filter.Handler {
 		return func(ctx context.Context, r *filter.Request, send filter.Send) error {
