--- a/internal/rookpassd/route/forward.go
+++ b/internal/rookpassd/route/forward.go
@@ -19,30 +19,30 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/sent"
 )
 
-// MaxMessageBytes bounds one gRPC message between daemons and towards callers. A program with its whole
-// history is the largest.
+// MaxMessageBytes limits one gRPC message between daemons and to callers. The largest message is a program with
+// its complete history.
 const MaxMessageBytes = 64 << 20
 
-// GRPCForwarder forwards over gRPC, with one connection an address. Use NewGRPCForwarder.
+// GRPCForwarder forwards requests over gRPC, with one connection per address. Use NewGRPCForwarder.
 type GRPCForwarder struct {
 	dial     func(ctx context.Context, address string) (net.Conn, error)
 	provider trace.TracerProvider
 
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
-	// closed is set once no connection may be opened any more.
+	// closed is set by Close; no connection is opened after that.
 	closed bool
 }
 
-// NewGRPCForwarder returns a forwarder. dial makes connections that are already secure.
+// NewGRPCForwarder returns a forwarder. dial must return secured connections.
 func NewGRPCForwarder(dial func(ctx context.Context, address string) (net.Conn, error), provider trace.TracerProvider) *GRPCForwarder {
 	return &GRPCForwarder{dial: dial, provider: provider, conns: map[string]*grpc.ClientConn{}}
 }
 
-// errClosed answers requests that come after Close.
+// errClosed is returned for requests after Close.
 var errClosed = errors.New("forwarder is closed")
 
-// Close ends all connections. Later requests are refused.
+// Close closes all connections. Later requests fail.
 func (f *GRPCForwarder) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,12 +96,12 @@
 		case errors.Is(err, io.EOF) && whole:
 			return true, nil
 		case errors.Is(err, io.EOF):
-			return true, ForwardError(errors.New("stream ended early"))
+			return true, ForwardError(errors.New("stream ended before the final event"))
 		case err != nil:
 			return flag.MayHaveSent(), forwardError(err)
 		}
 		if !answers(req, event) {
-			return true, verdict.Unknown(verdict.Lost, noOwnerRetry, "owner answered another request")
+			return true, verdict.Unknown(verdict.Lost, noOwnerRetry, "owner's response belongs to another request")
 		}
 		whole = whole || isLast(event)
 		if err := send(event); err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// forwardError tells an owner's refusal from a broken forward.
+// forwardError returns the owner's error, or a ForwardError if the forward itself failed.
 func forwardError(err error) error {
 	if sent.IsPeerError(err) {
 		return verdict.FromGRPC(err)
@@ -118,7 +118,7 @@
 	return ForwardError(err)
 }
 
-// answers checks that a final event belongs to the request, before it is delivered.
+// answers reports whether an event belongs to the request. Only programs and final events carry ids to check.
 func answers(req *peerv1.ExecuteRequest, event *peerv1.ExecuteEvent) bool {
 	if program := event.GetProgram(); program != nil {
 		return program.Id == req.ProgramId
@@ -134,7 +134,7 @@
 	return final.ProgramId == req.ProgramId && final.RequestId == requestID
 }
 
-// isLast tells whether an event ends an answer.
+// isLast reports whether an event is the last one of a response.
 func isLast(event *peerv1.ExecuteEvent) bool {
 	call, isCall := event.Event.(*peerv1.ExecuteEvent_Call)
 	if !isCall {
--- a/internal/rookpassd/route/router.go
+++ b/internal/rookpassd/route/router.go
@@ -1,6 +1,6 @@
-// Package route brings a request to the daemon that owns its program, and again to the next owner when the
-// first one is gone. That is safe for every request: the owner knows by program, sequence and request id what
-// has run.
+// Package route sends each request to the daemon that owns its program and retries at the next owner if the first
+// one fails. Retries are safe, because the owner recognises requests that have run by their program, sequence and
+// request id.
 package route
 
 import (
@@ -18,29 +18,29 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// Local serves the partitions of this daemon; *holder.Holder implements it.
+// Local serves the partitions of this daemon. *holder.Holder implements it.
 type Local interface {
 	Execute(ctx context.Context, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteEvent) error) error
 }
 
-// Forwarder brings a request to another daemon.
+// Forwarder sends a request to another daemon.
 type Forwarder interface {
-	// Forward returns whether any byte of the request may have left, with the error.
+	// Forward returns, with the error, whether the request may have been sent.
 	Forward(ctx context.Context, address string, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteEvent) error) (left bool, err error)
 }
 
-// Times of the router.
+// Timeouts and retry delays of the router.
 const (
-	// patience is how long a request waits for an owner.
-	patience = 15 * time.Second
-	// firstPause and maxPause bound the time between attempts; each is spread by as much again.
+	// ownerTimeout is how long a request is retried while no owner answers.
+	ownerTimeout = 15 * time.Second
+	// firstPause and maxPause bound the backoff between attempts, before jitter of up to 100%.
 	firstPause = 20 * time.Millisecond
 	maxPause   = 250 * time.Millisecond
-	// noOwnerRetry is what a caller is told when no owner was found.
+	// noOwnerRetry is the retry delay given to callers when no owner answered.
 	noOwnerRetry = time.Second
 )
 
-// Retry budget of one daemon: attempts beyond each request's first.
+// Retry budget of one daemon, for all attempts after the first of each request.
 const (
 	retriesPerSecond = 200
 	retryBurst       = 1000
@@ -67,43 +67,43 @@
 	return &Router{Options: options, retries: rate.NewLimiter(retriesPerSecond, retryBurst)}
 }
 
-// Execute runs a request at its program's owner. While there is none, or it is just changing, the request
-// waits; once the router gives up, the answer says whether the request may have run.
+// Execute runs a request at the owner of its program. While there is no owner or ownership changes, the request
+// is retried. When the router gives up, the verdict of the error says whether the request may have run.
 func (r *Router) Execute(ctx context.Context, req *peerv1.ExecuteRequest, send func(*peerv1.ExecuteEvent) error) error {
 	number := program.PartitionOf(req.ProgramId, r.Partitions)
-	giveUp := time.Now().Add(patience)
+	giveUp := time.Now().Add(ownerTimeout)
 	mayHaveRun := false
 	var last error
 	for attempt := 0; ; attempt++ {
 		if attempt > 0 && !r.retries.Allow() {
-			return gaveUp(mayHaveRun, verdict.Overloaded, "retry budget of this daemon is used up", last)
+			return giveUpError(mayHaveRun, verdict.Overloaded, "retry budget of this daemon is exhausted", last)
 		}
 		changed := r.Tracker.Changed()
 		owner, found := r.Tracker.View().Owner(number)
 		if found {
 			left, err := r.attempt(ctx, owner, req, send)
-			if !again(err) {
+			if !retryable(err) {
 				return err
 			}
 			mayHaveRun = mayHaveRun || left
 			last = err
 		}
 		if ctx.Err() != nil || time.Now().After(giveUp) {
-			return gaveUp(mayHaveRun, verdict.Unavailable, "no owner of the program answered", last)
+			return giveUpError(mayHaveRun, verdict.Unavailable, "no owner of the program answered", last)
 		}
 		r.pause(ctx, attempt, found, changed)
 	}
 }
 
-// again tells whether another owner may answer what this one did not.
-func again(err error) bool {
+// retryable reports whether a request that failed with err can be retried at the next owner.
+func retryable(err error) bool {
 	return err != nil && (verdict.IsCode(err, verdict.NotOwner) || verdict.IsCode(err, errForward))
 }
 
-// errForward is the code of a forward that broke; it never reaches a caller.
+// errForward is the internal code of a failed forward. It is never returned to callers.
 const errForward verdict.Code = "FORWARD_BROKE"
 
-// ForwardError returns the error of a forward that got no whole answer.
+// ForwardError returns the error of a forward without a complete response.
 func ForwardError(err error) error {
 	return verdict.Unknown(errForward, noOwnerRetry, "%v", err)
 }
@@ -122,14 +122,14 @@
 	go func() {
 		select {
 		case <-r.Tracker.Ended(owner.Incarnation):
-			cancel() // A hung owner has been replaced: another one will answer.
+			cancel() // The owner has been replaced; do not wait for it if it hangs.
 		case <-stop:
 		}
 	}()
 	return r.Forwarder.Forward(ctx, owner.ForwardAddress, req, send)
 }
 
-// pause waits before another attempt. Without an owner a change of the cluster ends it.
+// pause waits before the next attempt. If there is no owner, a change of the cluster ends the wait early.
 func (r *Router) pause(ctx context.Context, attempt int, found bool, changed <-chan struct{}) {
 	base := min(firstPause<<min(attempt, 8), maxPause)
 	timer := time.NewTimer(base + rand.N(base))
@@ -144,7 +144,7 @@
 	}
 }
 
-func gaveUp(mayHaveRun bool, code verdict.Code, reason string, last error) error {
+func giveUpError(mayHaveRun bool, code verdict.Code, reason string, last error) error {
 	if mayHaveRun {
 		return verdict.Unknown(code, noOwnerRetry, "%s (last: %v)", reason, last)
 	}
