--- a/internal/rookpassd/program/program.go
+++ b/internal/rookpassd/program/program.go
@@ -1,7 +1,7 @@
-// Package program is the state of one program: a pure state machine that changes only by records.
+// Package program implements the state of one program as a deterministic state machine driven by records.
 //
-// A daemon decides on a request with the Check functions, makes the records durable and applies them.
-// A new owner applies the same records again, so both reach the same state.
+// A daemon checks a request with CheckCall, makes the records durable and applies them. A new owner applies
+// the same records and reaches the same state.
 package program
 
 import (
@@ -17,12 +17,12 @@
 // Program is one program's durable state. It is not safe for concurrent use.
 type Program struct {
 	snap *peerv1.ProgramSnapshot
-	// byRequest finds finished calls by request id.
+	// byRequest holds the finished calls by request id.
 	byRequest map[string]*peerv1.Finished
-	// historyBytes is the size of all inputs and outputs.
+	// historyBytes is the total size of all inputs and outputs.
 	historyBytes int
-	// promptTokens is what the engine counted for the history at the last model call, and promptBytes the
-	// size of the prompt and answer it counted.
+	// promptTokens is the engine's token count of the history up to and including the last model call, and
+	// promptBytes is the size of that history.
 	promptTokens int64
 	promptBytes  int
 }
@@ -32,7 +32,7 @@
 	return FromSnapshot(&peerv1.ProgramSnapshot{Id: id})
 }
 
-// FromSnapshot returns the state that a snapshot holds. The program owns the snapshot afterwards.
+// FromSnapshot returns the program with the state of a snapshot. It takes ownership of the snapshot.
 func FromSnapshot(snap *peerv1.ProgramSnapshot) *Program {
 	p := &Program{snap: snap, byRequest: map[string]*peerv1.Finished{}}
 	for _, finished := range snap.History {
@@ -44,16 +44,15 @@
 // Snapshot returns the program's state. It shares memory with the program.
 func (p *Program) Snapshot() *peerv1.ProgramSnapshot { return p.snap }
 
-// ID returns the program's id.
 func (p *Program) ID() string { return p.snap.Id }
 
-// Exists tells whether the program has been started.
+// Exists reports whether the program has been started.
 func (p *Program) Exists() bool { return p.snap.Started != nil }
 
-// Ended tells whether the program has ended.
+// Ended reports whether the program has ended.
 func (p *Program) Ended() bool { return p.snap.Ended }
 
-// Organisation returns the organisation whose program it is.
+// Organisation returns the organisation that owns the program.
 func (p *Program) Organisation() string { return p.snap.Started.GetOrganisation() }
 
 // Definition returns the name of the program's definition.
@@ -62,34 +61,34 @@
 // Priority returns the program's priority, 0 to 9.
 func (p *Program) Priority() int32 { return p.snap.Started.GetPriority() }
 
-// NextSequence returns the sequence that the next call must carry.
+// NextSequence returns the sequence number required of the next call.
 func (p *Program) NextSequence() uint64 { return uint64(len(p.snap.History)) + 1 }
 
 // Spent returns the tokens spent.
 func (p *Program) Spent() int64 { return p.snap.SpentTokens }
 
-// RemainingBudget returns the budget's rest.
+// RemainingBudget returns the budget minus the tokens spent.
 func (p *Program) RemainingBudget() int64 {
 	return p.snap.Started.GetBudgetTokens() - p.snap.SpentTokens
 }
 
-// Reserved returns the durable bound on spending.
+// Reserved returns the durable upper bound on the tokens spent, which includes reserved tokens.
 func (p *Program) Reserved() int64 { return p.snap.ReservedTokens }
 
-// Intended returns the call that was made durable before it left, and has not finished; nil when none.
+// Intended returns the call whose intent is durable and that has not finished, or nil.
 func (p *Program) Intended() *rookpassv1.CallRequest { return p.snap.Intended.GetCall() }
 
 // Finished returns the finished call with a request id, or nil.
 func (p *Program) Finished(requestID string) *peerv1.Finished { return p.byRequest[requestID] }
 
-// CachedOn returns the backend servers that may hold cache for the program.
+// CachedOn returns the names of the backend servers that may hold cache for the program.
 func (p *Program) CachedOn() []string { return p.snap.Holds }
 
-// HistoryBytes returns the size of all inputs and outputs.
+// HistoryBytes returns the total size of all inputs and outputs.
 func (p *Program) HistoryBytes() int { return p.historyBytes }
 
-// Apply changes the state by a durable record. A record that is already applied changes nothing.
-// nowMillis is when the record is applied, in Unix milliseconds; it only serves retention.
+// Apply applies a durable record. Records that were applied before are ignored. nowMillis is the current Unix
+// time in milliseconds; it is used only for retention.
 func (p *Program) Apply(record *peerv1.Record, nowMillis int64) {
 	if record.Index <= p.snap.Index {
 		return
@@ -101,7 +100,7 @@
 		p.snap.ReservedTokens = change.Started.ReservedTokens
 	case *peerv1.Record_Intended:
 		p.snap.Intended = change.Intended
-		p.raise(change.Intended.ReservedTokens)
+		p.raiseReserved(change.Intended.ReservedTokens)
 	case *peerv1.Record_Finished:
 		p.finish(change.Finished)
 		if p.snap.Started.GetSingleRequest() {
@@ -111,7 +110,7 @@
 		p.snap.SpentTokens = change.TakenOver.SpentTokens
 		p.snap.Running = nil
 		p.snap.Executor = ""
-		p.raise(change.TakenOver.SpentTokens)
+		p.raiseReserved(change.TakenOver.SpentTokens)
 	case *peerv1.Record_Ended:
 		p.end(change.Ended.Reason, nowMillis)
 	case *peerv1.Record_Released:
@@ -121,8 +120,8 @@
 	case *peerv1.Record_Abandoned:
 		p.snap.Intended, p.snap.Running, p.snap.Executor = nil, nil, ""
 		p.snap.SpentTokens += change.Abandoned.CostTokens
-		p.raise(change.Abandoned.ReservedTokens)
-		p.raise(p.snap.SpentTokens)
+		p.raiseReserved(change.Abandoned.ReservedTokens)
+		p.raiseReserved(p.snap.SpentTokens)
 	case *peerv1.Record_ChildSpent:
 		p.refund(change.ChildSpent)
 	}
@@ -134,15 +133,15 @@
 	p.snap.EndedAtUnixMs = nowMillis
 }
 
-// finish adds a call to the history. A call has one end: a second record of it changes nothing.
+// finish adds a call to the history. A second record of the same call is ignored.
 func (p *Program) finish(finished *peerv1.Finished) {
 	if p.byRequest[finished.Call.RequestId] != nil {
 		return
 	}
 	p.snap.Intended, p.snap.Running, p.snap.Executor = nil, nil, ""
 	p.snap.SpentTokens += finished.CostTokens
-	p.raise(finished.ReservedTokens)
-	p.raise(p.snap.SpentTokens)
+	p.raiseReserved(finished.ReservedTokens)
+	p.raiseReserved(p.snap.SpentTokens)
 	if finished.HeldBy != "" && !slices.Contains(p.snap.Holds, finished.HeldBy) {
 		p.snap.Holds = append(p.snap.Holds, finished.HeldBy)
 	}
@@ -159,7 +158,7 @@
 	}
 }
 
-func (p *Program) raise(reserved int64) {
+func (p *Program) raiseReserved(reserved int64) {
 	p.snap.ReservedTokens = max(p.snap.ReservedTokens, reserved)
 }
 
@@ -171,7 +170,7 @@
 	p.snap.SpentTokens -= child.RefundTokens
 }
 
-// Prompt returns the text that a model call sends: the whole history, then input.
+// Prompt returns the prompt of a model call: the complete history followed by input.
 func (p *Program) Prompt(input []byte) []byte {
 	prompt := make([]byte, 0, p.historyBytes+len(input))
 	for _, turn := range p.snap.History {
@@ -181,14 +180,14 @@
 	return append(prompt, input...)
 }
 
-// MaxCost bounds the tokens that a model call may cost: the prompt, counted by the engine as far as it
-// has seen it and otherwise at one token a byte, and the bound on generated tokens.
+// MaxCost returns the maximum cost of a model call in tokens: the prompt plus maxTokens. Text that no engine has
+// counted yet is assumed to have one token per byte.
 func (p *Program) MaxCost(input []byte, maxTokens int64) int64 {
 	unseen := p.historyBytes - p.promptBytes + len(input)
 	return p.promptTokens + int64(unseen) + maxTokens
 }
 
-// Repeats returns how often the latest calls in a row were the same as call.
+// Repeats returns the number of consecutive latest calls with the same kind, target and input as call.
 func (p *Program) Repeats(call *rookpassv1.CallRequest) int64 {
 	var repeats int64
 	for _, turn := range slices.Backward(p.snap.History) {
@@ -202,8 +201,8 @@
 	return repeats
 }
 
-// CheckCall tells whether call is the program's next one. It returns the finished call when the request is
-// a repeat, nil when it may run, or a refusal.
+// CheckCall checks whether call is the program's next one. It returns the finished call if the request is a
+// retry, nil if the call may run, or an error.
 func (p *Program) CheckCall(call *rookpassv1.CallRequest) (*peerv1.Finished, error) {
 	if finished := p.byRequest[call.RequestId]; finished != nil {
 		if finished.Call.Sequence != call.Sequence {
@@ -221,7 +220,7 @@
 	return nil, nil
 }
 
-// View returns the program as callers see it.
+// View returns the caller-visible view of the program.
 func (p *Program) View(withHistory bool) *rookpassv1.Program {
 	view := &rookpassv1.Program{
 		Id:           p.snap.Id,
--- a/internal/rookpassd/program/program_test.go
+++ b/internal/rookpassd/program/program_test.go
@@ -56,7 +56,7 @@
 				assert.Equal(t, verdict.Of(err).Code, row.code)
 				assert.Equal(t, verdict.Of(err).Verdict, verdict.NotRun)
 			}
-			assert.Assert(t, proto.Equal(before, p.Snapshot()), "a check changes nothing")
+			assert.Assert(t, proto.Equal(before, p.Snapshot()), "CheckCall changed the state")
 		})
 	}
 }
@@ -72,8 +72,8 @@
 	assert.Equal(t, string(finished.Output), "out")
 }
 
-// TestReplayProperty: applying records twice, or again from a snapshot taken anywhere, gives the same state;
-// a finished call stands once.
+// TestReplayProperty checks that records applied twice, or again after a snapshot at any point, give the same state
+// and that each finished call is in the history once.
 func TestReplayProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var records []*peerv1.Record
@@ -119,7 +119,7 @@
 		}
 		for i, finished := range whole.Snapshot().History {
 			if finished.Call.Sequence != uint64(i+1) {
-				r.Fatalf("sequence %d at place %d", finished.Call.Sequence, i+1)
+				r.Fatalf("history has sequence %d at position %d", finished.Call.Sequence, i+1)
 			}
 		}
 	})
@@ -132,10 +132,10 @@
 			input := make([]byte, rapid.IntRange(0, 500).Draw(r, "input"))
 			most := int64(rapid.IntRange(1, 50).Draw(r, "max"))
 			worst := p.MaxCost(input, most)
-			// An engine counts at most one token a byte, and for text that it has counted the same again.
+			// The simulated engine counts one token per four bytes, rounded up.
 			prompt := int64(len(p.Prompt(input))+3) / 4
 			if prompt+most > worst {
-				r.Fatalf("turn %d: %d tokens, worst case %d", i, prompt+most, worst)
+				r.Fatalf("turn %d cost %d tokens, above the maximum cost %d", i, prompt+most, worst)
 			}
 			p.Apply(&peerv1.Record{Index: uint64(i + 2), Change: &peerv1.Record_Finished{Finished: &peerv1.Finished{
 				Call:         &rookpassv1.CallRequest{Sequence: uint64(i + 1), RequestId: fmt.Sprint(i), Input: input},
