--- a/internal/rookpassd/spending/spending.go
+++ b/internal/rookpassd/spending/spending.go
@@ -1,7 +1,7 @@
-// Package spending keeps organisations within their budgets across daemons. The object API holds, for each
-// organisation with a budget, what is spent and what is lent to which daemon; a daemon spends from its slice
-// without asking. What was lent to a daemon that died counts as spent, so a daemon that wakes late can only
-// spend what was set aside for it.
+// Package spending enforces the budgets of organisations across daemons. For each organisation with a budget, the
+// object API stores the tokens spent and the slice lent to each daemon. A daemon spends from its slice without
+// further requests. The slice of a failed daemon counts as spent, so a daemon that was only paused and resumes
+// later can't exceed the budget.
 package spending
 
 import (
@@ -21,21 +21,22 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// A slice is borrowed for several calls at once: a share of what is left, but not less than some calls' worth.
+// A daemon borrows 1/sliceShare of the remaining budget at a time, but at least enough for the current call and
+// sliceCalls more like it, if that much is left.
 const (
 	sliceShare = 32
 	sliceCalls = 4
 )
 
-// maxAttempts bounds the attempts to borrow while other daemons change the same object.
+// maxAttempts limits the attempts to update an organisation's object while other daemons update it.
 const maxAttempts = 8
 
-// Pauses of the ledger.
+// Intervals and retry delays of the ledger.
 const (
 	attemptPause = 20 * time.Millisecond
 	apiRetry     = 2 * time.Second
-	// settleInterval is how often unused slices go back and used ones are counted as spent. It costs a write
-	// for each organisation with a budget at each daemon: docs/CAPACITY.md.
+	// settleInterval is how often unused slices are returned and used tokens are counted as spent. Each settling
+	// costs up to one write per organisation with a budget and daemon; see docs/CAPACITY.md.
 	settleInterval = 10 * time.Minute
 )
 
@@ -43,15 +44,15 @@
 type Options struct {
 	API     objectapi.API
 	Limiter *rate.Limiter
-	// Incarnation is the borrower.
+	// Incarnation identifies this daemon as a borrower.
 	Incarnation string
-	// Budget returns an organisation's budget in tokens; 0 means that it has no bound.
+	// Budget returns an organisation's budget in tokens; 0 means no limit.
 	Budget func(organisation string) int64
-	// Ended tells whether an incarnation is certainly over: its log is sealed.
+	// Ended reports whether an incarnation has ended for certain, that is, whether its log is sealed.
 	Ended func(incarnation string) bool
 }
 
-// Ledger spends organisations' budgets for one incarnation. Use New.
+// Ledger manages the slices of one incarnation. Use New.
 type Ledger struct {
 	Options
 
@@ -61,17 +62,18 @@
 
 // account is one organisation's slice at this daemon. lent = free + reserved + used.
 type account struct {
-	// borrow holds one token, taken while the object is changed: unlike a lock, a call can stop waiting for it.
+	// borrow is a lock held while the organisation's object is updated. It is a channel so that waiting for it can
+	// be cancelled.
 	borrow chan struct{}
 
 	lent, free, used int64
 	serial           uint64
-	// touched tells whether anything was reserved since the last settling.
+	// touched is set if tokens were reserved since the last settling.
 	touched bool
 }
 
-// enter waits until no other call changes the organisation's object.
-func (a *account) enter(ctx context.Context) error {
+// lock locks the organisation's object against updates by other calls of this daemon.
+func (a *account) lock(ctx context.Context) error {
 	select {
 	case a.borrow <- struct{}{}:
 		return nil
@@ -80,7 +82,7 @@
 	}
 }
 
-func (a *account) leave() { <-a.borrow }
+func (a *account) unlock() { <-a.borrow }
 
 // New returns a ledger without slices.
 func New(options Options) *Ledger { return &Ledger{Options: options, accounts: map[string]*account{}} }
@@ -96,8 +98,8 @@
 	return a
 }
 
-// Reserve sets tokens aside for one call, borrowing more if need be. The returned function must be called once
-// with what the call cost. A refusal means that nothing was set aside.
+// Reserve reserves tokens for one call and borrows more if necessary. The caller must call settle exactly once
+// with the actual cost. On error nothing is reserved.
 func (l *Ledger) Reserve(ctx context.Context, organisation string, tokens int64) (settle func(cost int64), err error) {
 	if l.Budget(organisation) == 0 {
 		return func(int64) {}, nil
@@ -111,7 +113,7 @@
 	return func(cost int64) { l.settle(a, tokens, cost) }, nil
 }
 
-// take reserves from the slice if enough of it is free.
+// take reserves tokens from the slice if it has enough free tokens.
 func (l *Ledger) take(a *account, tokens int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,17 +132,17 @@
 	a.free += reserved - cost
 }
 
-// extend borrows enough for a call, or refuses.
+// extend borrows enough tokens for a call. It returns a BudgetExhausted error if the remaining budget is too small.
 func (l *Ledger) extend(ctx context.Context, organisation string, a *account, tokens int64) error {
-	if err := a.enter(ctx); err != nil {
+	if err := a.lock(ctx); err != nil {
 		return unavailable(err)
 	}
-	defer a.leave()
+	defer a.unlock()
 	l.mu.Lock()
 	missing := tokens - a.free
 	l.mu.Unlock()
 	if missing <= 0 {
-		return nil // Another call has just borrowed.
+		return nil // Another call has extended the slice meanwhile.
 	}
 	return l.change(ctx, organisation, a, func(stored *peerv1.Spending, slice *peerv1.Slice) error {
 		left := l.Budget(organisation) - stored.SpentTokens
@@ -155,8 +157,8 @@
 	})
 }
 
-// change changes the organisation's object by a conditional write, again when another daemon was first. It
-// then takes over the new size of this daemon's slice. The caller has entered the account.
+// change updates the organisation's object by a conditional write and retries on conflicts. It then adopts the new
+// size of this daemon's slice. The caller must have locked the account.
 func (l *Ledger) change(ctx context.Context, organisation string, a *account, edit func(*peerv1.Spending, *peerv1.Slice) error) error {
 	key := keyspace.Spending(organisation)
 	for range maxAttempts {
@@ -164,10 +166,10 @@
 		if err != nil {
 			return unavailable(err)
 		}
-		l.countDead(stored)
+		l.writeOffEnded(stored)
 		slice := l.sliceOf(stored)
 		if slice.Serial > a.serial {
-			l.adopt(a, slice) // An earlier write took effect though its answer was lost.
+			l.adopt(a, slice) // An earlier write took effect although its response was lost.
 			return nil
 		}
 		if err := edit(stored, slice); err != nil {
@@ -189,13 +191,13 @@
 		if !errors.Is(err, objectapi.ErrConflict) && !errors.Is(err, objectapi.ErrUnknownOutcome) {
 			return unavailable(err)
 		}
-		_ = wait.For(ctx, attemptPause) // The next attempt finds that ctx has ended.
+		_ = wait.For(ctx, attemptPause) // If ctx has ended, the next attempt fails.
 	}
-	return verdict.RetryLater(verdict.Overloaded, attemptPause*maxAttempts, "organisation's budget is being changed")
+	return verdict.RetryLater(verdict.Overloaded, attemptPause*maxAttempts, "organisation's budget is being updated by other daemons")
 }
 
 func unavailable(err error) error {
-	return verdict.RetryLater(verdict.Unavailable, apiRetry, "organisation's budget can't be read: %v", err)
+	return verdict.RetryLater(verdict.Unavailable, apiRetry, "organisation's budget is unavailable: %v", err)
 }
 
 func (l *Ledger) read(ctx context.Context, key string) (*peerv1.Spending, uint64, error) {
@@ -210,8 +212,8 @@
 	return stored, object.Version, proto.Unmarshal(object.Value, stored)
 }
 
-// countDead counts what was lent to incarnations that are over as spent.
-func (l *Ledger) countDead(stored *peerv1.Spending) {
+// writeOffEnded removes the slices of incarnations that have ended and counts them as spent.
+func (l *Ledger) writeOffEnded(stored *peerv1.Spending) {
 	stored.Slices = slices.DeleteFunc(stored.Slices, func(s *peerv1.Slice) bool {
 		dead := s.Incarnation != l.Incarnation && l.Ended(s.Incarnation)
 		if dead {
@@ -232,7 +234,7 @@
 	return s
 }
 
-// adopt makes what the object lends this daemon available.
+// adopt updates the account to the slice stored in the organisation's object.
 func (l *Ledger) adopt(a *account, slice *peerv1.Slice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,7 +243,7 @@
 	a.serial = slice.Serial
 }
 
-// Run settles now and then until ctx ends.
+// Run settles all accounts every settleInterval until ctx ends.
 func (l *Ledger) Run(ctx context.Context) error {
 	ticker := time.NewTicker(settleInterval)
 	defer ticker.Stop()
@@ -255,8 +257,8 @@
 	}
 }
 
-// SettleAll counts what was used as spent and gives back what organisations that made no call since the last
-// time do not use. What can't be settled now is settled later.
+// SettleAll counts used tokens as spent and returns the free tokens of organisations without calls since the last
+// settling. It stops at the first error; the rest is settled the next time.
 func (l *Ledger) SettleAll(ctx context.Context) {
 	l.mu.Lock()
 	organisations := make(map[string]*account, len(l.accounts))
@@ -274,17 +276,17 @@
 }
 
 func (l *Ledger) settleOne(ctx context.Context, organisation string, a *account) error {
-	if err := a.enter(ctx); err != nil {
+	if err := a.lock(ctx); err != nil {
 		return err
 	}
-	defer a.leave()
+	defer a.unlock()
 	l.mu.Lock()
 	used, idle := a.used, !a.touched
 	a.touched = false
 	back := int64(0)
 	if idle {
 		back = a.free
-		a.free = 0 // Nobody may take it while it is being given back.
+		a.free = 0 // The tokens must not be reserved while they are being returned.
 	}
 	l.mu.Unlock()
 	if used == 0 && back == 0 {
@@ -303,7 +305,7 @@
 		a.free += back
 		return err
 	}
-	// adopt has taken the difference off free; used and back are what it consists of.
+	// adopt has reduced free by used+back, but neither was part of free any more.
 	a.used -= used
 	a.free += used + back
 	return nil
--- a/internal/rookpassd/spending/spending_test.go
+++ b/internal/rookpassd/spending/spending_test.go
@@ -19,7 +19,7 @@
 
 const budget = 10_000
 
-// ledgers are some daemons over one object API.
+// ledgers simulates several daemons that share one object API.
 type ledgers struct {
 	api  *apitest.API
 	mu   sync.Mutex
@@ -55,7 +55,7 @@
 	return &ledgers{api: apitest.New(memapi.New()), dead: map[string]bool{}}
 }
 
-// spendAll spends from a ledger until it is refused, and returns what was spent.
+// spendAll spends from a ledger until the budget is exhausted and returns the tokens spent.
 func spendAll(ctx context.Context, l *spending.Ledger, cost int64) (int64, error) {
 	var spent int64
 	for {
@@ -76,7 +76,7 @@
 	for _, row := range []struct {
 		name  string
 		fault apitest.Fault
-		// kill ends one daemon halfway, with its slice.
+		// kill ends the incarnation of one daemon during the test.
 		kill bool
 	}{
 		{"no fault", apitest.None, false},
@@ -119,8 +119,8 @@
 		settle, err := first.Reserve(t.Context(), "o", 100)
 		assert.NilError(t, err)
 		settle(40)
-		first.SettleAll(t.Context()) // What was used counts as spent.
-		first.SettleAll(t.Context()) // Nothing was reserved since: the rest goes back.
+		first.SettleAll(t.Context()) // Counts the used tokens as spent.
+		first.SettleAll(t.Context()) // Returns the rest, because nothing was reserved since.
 		spent, _ := spendAll(t.Context(), second, 100)
 		assert.Equal(t, spent, int64((budget-40)/100*100))
 	})
