--- a/internal/rookpassd/sent/sent.go
+++ b/internal/rookpassd/sent/sent.go
@@ -1,5 +1,5 @@
-// Package sent tells of a gRPC request whether it may have left this process, so that a failure to connect is
-// known to be "not run".
+// Package sent tracks whether a gRPC request may have been sent, so that a failure to connect gets the verdict
+// "not run".
 package sent
 
 import (
@@ -13,18 +13,18 @@
 	"github.com/rookpass/rookpass/internal/base/verdict"
 )
 
-// connectRetry is when to come back to a daemon that could not be reached.
+// connectRetry is the retry delay given to callers when a daemon could not be reached.
 const connectRetry = 200 * time.Millisecond
 
-// lostRetry is when to ask again after an answer was lost.
+// lostRetry is the retry delay given to callers when a response was lost.
 const lostRetry = time.Second
 
 type key struct{}
 
-// Flag is set once a request's headers are on their way.
+// Flag records whether the headers of a request have been sent.
 type Flag struct{ set atomic.Bool }
 
-// MayHaveSent tells whether any byte of the request may have left.
+// MayHaveSent reports whether any part of the request may have been sent.
 func (f *Flag) MayHaveSent() bool { return f.set.Load() }
 
 // Track returns a context for one request and the flag that Handler sets for it.
@@ -33,7 +33,7 @@
 	return context.WithValue(ctx, key{}, flag), flag
 }
 
-// Error returns the typed error of a tracked request: the one that the server sent, or one that says whether
+// Error returns the typed error of a tracked request: the server's own error, or one whose verdict says whether
 // the request may have run.
 func (f *Flag) Error(err error) *verdict.Error {
 	if IsPeerError(err) {
@@ -45,10 +45,10 @@
 	return verdict.RetryLater(verdict.Unavailable, connectRetry, "%v", err)
 }
 
-// IsPeerError tells whether an error came from rookpass code at the other end.
+// IsPeerError reports whether an error was returned by the peer's rookpass code rather than by gRPC.
 func IsPeerError(err error) bool { return len(status.Convert(err).Details()) > 0 }
 
-// Handler sets flags. A client connection needs it as a stats handler.
+// Handler sets the flags of tracked requests. It must be installed as a stats handler of the client connection.
 type Handler struct{}
 
 // TagRPC implements stats.Handler.
