--- a/internal/rookpassd/holds/controller.go
+++ b/internal/rookpassd/holds/controller.go
@@ -1,6 +1,6 @@
-// Package holds makes engines release the cache of ended programs. Two loops do it: one releases what the
-// programs of this daemon are known to have held; the other compares what engines say they hold with what
-// lives, for what was held behind a dead daemon's back.
+// Package holds releases the engine cache of ended programs. A hold is cache that an engine keeps for a program.
+// One periodic task releases the recorded holds of this daemon's ended programs. The other compares the holds that
+// engines report with the running programs, to find holds that a failed daemon did not record.
 package holds
 
 import (
@@ -18,20 +18,20 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/program"
 )
 
-// Programs tells which programs live here; *holder.Holder implements it.
+// Programs provides the programs of this daemon. *holder.Holder implements it.
 type Programs interface {
 	Held() []holder.EndedProgram
 	Released(ctx context.Context, programID string, backends []string) error
 	Ended(programs []string) []string
 }
 
-// Engines reaches model engines; *backend.Runner implements it.
+// Engines provides the clients of model engines. *backend.Runner implements it.
 type Engines interface {
 	Engine(name string) *backend.Engine
 	Engines() []string
 }
 
-// Peers asks other daemons which programs live; *peer.Client implements it.
+// Peers asks other daemons which of their programs have ended. *peer.Client implements it.
 type Peers interface {
 	Ended(ctx context.Context, address string, programs []string) ([]string, error)
 }
@@ -47,15 +47,15 @@
 	Log         logrus.FieldLogger
 }
 
-// Times of the controller.
+// Intervals and timeouts of the controller.
 const (
 	releaseInterval = 500 * time.Millisecond
-	// compareInterval is how often each engine's holds are compared, by one daemon.
+	// compareInterval is how often the holds of each engine are compared, by one daemon per engine.
 	compareInterval = 5 * time.Second
 	engineTimeout   = 2 * time.Second
 )
 
-// Controller owns both loops. Use New, then Run.
+// Controller runs both periodic tasks. Use New, then Run.
 type Controller struct {
 	Options
 	released atomic.Int64
@@ -65,13 +65,13 @@
 // New returns a controller.
 func New(options Options) *Controller { return &Controller{Options: options} }
 
-// Released returns how many holds were released for programs of this daemon.
+// Released returns the number of recorded holds released for programs of this daemon.
 func (c *Controller) Released() int64 { return c.released.Load() }
 
-// Orphans returns how many holds were found for programs that do not live.
+// Orphans returns the number of orphaned holds released by comparison.
 func (c *Controller) Orphans() int64 { return c.orphans.Load() }
 
-// Run works until ctx ends.
+// Run runs both tasks until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	release := time.NewTicker(releaseInterval)
 	defer release.Stop()
@@ -92,7 +92,7 @@
 	}
 }
 
-// releaseEnded releases what ended programs of this daemon held, and records what engines confirmed.
+// releaseEnded releases the holds of this daemon's ended programs and records the releases that engines confirmed.
 func (c *Controller) releaseEnded(ctx context.Context) {
 	for _, held := range c.Programs.Held() {
 		var confirmed []string
@@ -106,13 +106,13 @@
 		}
 		c.released.Add(int64(len(confirmed)))
 		if err := c.Programs.Released(ctx, held.ID, confirmed); err != nil {
-			return // The releases are repeated; that does no harm.
+			return // The releases are repeated in the next round; Release is idempotent.
 		}
 	}
 }
 
-// release tells whether an engine confirmed the release. An engine that was deleted from the configuration
-// has nothing to confirm.
+// release releases a hold and reports whether the engine confirmed it. An engine that was deleted from the
+// configuration counts as confirmed.
 func (c *Controller) release(ctx context.Context, name, tag string) bool {
 	engine := c.Engines.Engine(name)
 	if engine == nil {
@@ -123,7 +123,7 @@
 	return engine.Release(ctx, tag) == nil
 }
 
-// compareAll compares the engines that fall to this daemon.
+// compareAll compares the engines that are assigned to this daemon.
 func (c *Controller) compareAll(ctx context.Context) {
 	view := c.Tracker.View()
 	candidates := view.Candidates(c.Tracker.Alive)
@@ -134,7 +134,7 @@
 	}
 }
 
-// compare releases what an engine holds for programs that do not live.
+// compare releases an engine's holds for programs that have ended or are unknown to their owner.
 func (c *Controller) compare(ctx context.Context, view *cluster.View, name string) {
 	engine := c.Engines.Engine(name)
 	if engine == nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-// ended asks the owner of some programs which of them have ended.
+// ended asks the owner of the given programs which of them have ended or are unknown.
 func (c *Controller) ended(ctx context.Context, view *cluster.View, incarnation string, tags []string) []string {
 	if incarnation == c.Incarnation {
 		return c.Programs.Ended(tags)
