--- a/internal/rookpassd/backend/contract_test.go
+++ b/internal/rookpassd/backend/contract_test.go
@@ -22,7 +22,7 @@
 	m.Run()
 }
 
-// serve runs a stand-in in memory and returns how to reach it.
+// serve runs a stand-in server in memory and returns its dial function.
 func serve(t *testing.T, handler fasthttp.RequestHandler) func(string) (net.Conn, error) {
 	listener := fasthttputil.NewInmemoryListener()
 	server := &fasthttp.Server{Handler: handler, NoDefaultDate: true}
@@ -47,7 +47,7 @@
 		faults  standin.EngineFaults
 		dead    bool
 		fencing uint64
-		// tokens is the length of the text that must have come; code and verdict are of the error.
+		// tokens is the number of tokens that must be received; code and verdict are those of the expected error.
 		tokens  int
 		code    verdict.Code
 		verdict verdict.Verdict
@@ -113,7 +113,7 @@
 		exported, err := client.ExportCache(t.Context(), "p.1")
 		assert.NilError(t, err)
 		assert.NilError(t, client.Release(t.Context(), "p.1"))
-		assert.NilError(t, client.Release(t.Context(), "p.1"), "releasing again succeeds")
+		assert.NilError(t, client.Release(t.Context(), "p.1"), "second release of the same tag")
 		_, err = client.ExportCache(t.Context(), "p.1")
 		assert.Assert(t, err != nil)
 		assert.NilError(t, client.ImportCache(t.Context(), "p.1", exported))
--- a/internal/rookpassd/backend/engine.go
+++ b/internal/rookpassd/backend/engine.go
@@ -17,8 +17,8 @@
 	"github.com/rookpass/rookpass/internal/transport/httpclient"
 )
 
-// CompletionRequest is the body of POST /v1/completions, the usual streaming completion API with the
-// extensions that model engines offer.
+// CompletionRequest is the body of POST /v1/completions, the common streaming completion API with extensions for
+// resuming, holds and fencing.
 type CompletionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -26,13 +26,13 @@
 	Stream    bool   `json:"stream"`
 	// Priority is higher for more urgent calls.
 	Priority int32 `json:"priority"`
-	// RequestID names the stream for resume and cancel.
+	// RequestID identifies the stream for resume and cancel.
 	RequestID string `json:"request_id"`
-	// CacheSalt keeps organisations from sharing cached prefixes.
+	// CacheSalt prevents organisations from sharing cached prefixes.
 	CacheSalt string `json:"cache_salt"`
 	// HoldTag asks the engine to keep the prefix until the tag is released.
 	HoldTag string `json:"hold_tag"`
-	// FencingToken lets an engine that checks it refuse a former owner.
+	// FencingToken lets the engine refuse calls of a former owner.
 	FencingToken uint64 `json:"fencing_token"`
 }
 
@@ -45,7 +45,7 @@
 	Error string `json:"error,omitempty"`
 }
 
-// Usage is what a completion used, in tokens.
+// Usage is the token usage of a completion.
 type Usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
@@ -58,25 +58,25 @@
 	Tokens int64  `json:"tokens"`
 }
 
-// maxResumes is how often a stream that broke off is taken up again at the same engine.
+// maxResumes is the number of times an interrupted stream is resumed at the same engine.
 const maxResumes = 2
 
-// cancelTimeout bounds the order to cancel a completion.
+// cancelTimeout limits the request that cancels a completion.
 const cancelTimeout = 2 * time.Second
 
-// errStreamEnd means that a stream ended without its usage event.
-var errStreamEnd = errors.New("stream broke off")
+// errStreamEnd means that a stream was interrupted before its usage event. Such a stream can be resumed.
+var errStreamEnd = errors.New("stream ended before the usage event")
 
 // Engine is the client of one model engine.
 type Engine struct{ client *httpclient.Client }
 
-// NewEngine returns a client. idle bounds the time without any byte from the engine.
+// NewEngine returns a client. idle limits the time without any byte from the engine.
 func NewEngine(addr string, dial httpclient.DialFunc, idle time.Duration) *Engine {
 	return &Engine{client: httpclient.New(addr, dial, idle)}
 }
 
-// Complete runs a completion and passes its text on. It returns the usage; on an error CompletionTokens
-// counts the events that came. A stream that breaks off is resumed where it stopped.
+// Complete runs a completion, passes its text to the text function and returns the usage. On error,
+// CompletionTokens is the number of events received. An interrupted stream is resumed where it stopped.
 func (e *Engine) Complete(ctx context.Context, completion CompletionRequest, text func([]byte)) (Usage, error) {
 	completion.Stream = true
 	body, err := json.Marshal(completion)
@@ -95,20 +95,21 @@
 			e.cancel(completion.RequestID)
 		}
 		if !errors.Is(err, errStreamEnd) || resumes == maxResumes || ctx.Err() != nil {
-			return Usage{CompletionTokens: next}, asBroken(err)
+			return Usage{CompletionTokens: next}, callError(err)
 		}
 		open = httpclient.Request{Method: http.MethodGet, Path: streamPath(completion.RequestID, next)}
 	}
 }
 
-// streamPath names a completion in the query: request ids may hold any character, also '/'.
+// streamPath returns the path that resumes a completion. The request id is a query parameter because it may
+// contain any character, including '/'.
 func streamPath(requestID string, from int64) string {
 	query := url.Values{"request_id": {requestID}, "from": {strconv.FormatInt(from, 10)}}
 	return "/v1/completions/stream?" + query.Encode()
 }
 
-// asBroken gives an error without a verdict the one of a call that had left.
-func asBroken(err error) error {
+// callError gives an error without a verdict the verdict of a call that may have run.
+func callError(err error) error {
 	var typed *verdict.Error
 	if errors.As(err, &typed) {
 		return err
@@ -116,11 +117,11 @@
 	return verdict.Unknown(verdict.Unavailable, brokeRetry, "engine: %v", err)
 }
 
-// stream reads one response. next is the index of the event to come.
+// stream reads one response. next is the index of the next event expected.
 func (e *Engine) stream(ctx context.Context, open httpclient.Request, next *int64, text func([]byte)) (Usage, error) {
 	resp, err := e.client.Do(ctx, open)
 	if err != nil {
-		return Usage{}, opened(open.Method, err)
+		return Usage{}, openError(open.Method, err)
 	}
 	if resp.Status != http.StatusOK {
 		defer resp.Close()
@@ -146,7 +147,7 @@
 				return *event.Usage, nil
 			}
 			if event.Index < *next {
-				continue // Seen before the stream was resumed.
+				continue // Received before the stream was resumed.
 			}
 			if event.Index > *next {
 				return Usage{}, errStreamEnd
@@ -154,22 +155,21 @@
 			*next++
 			text([]byte(event.Text))
 		case <-ctx.Done():
-			return Usage{}, verdict.Unknown(verdict.Timeout, brokeRetry, "generation was cut off: %v", context.Cause(ctx))
+			return Usage{}, verdict.Unknown(verdict.Timeout, brokeRetry, "generation was cancelled: %v", context.Cause(ctx))
 		}
 	}
 }
 
-// opened gives a failure to open a stream its verdict. A failed resume leaves the call as it was: it had
-// run, so it may be resumed again.
-func opened(method string, err error) error {
+// openError gives a failure to open a stream its verdict. After a failed resume the call may be resumed again.
+func openError(method string, err error) error {
 	if method == http.MethodPost {
 		return sendError(err)
 	}
 	return fmt.Errorf("%w: %w", errStreamEnd, err)
 }
 
-// statusError returns the error of a response that is not a stream. A refused resume means that the call
-// had run before.
+// statusError returns the error of a response with a status other than 200. For a resume, which is a GET, the
+// call may have run whatever the status.
 func statusError(resp *httpclient.Response, addr, method string) error {
 	if method == http.MethodPost {
 		if err := refusal(addr, resp); err != nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// cancel tells the engine that nobody waits for a completion any more.
+// cancel tells the engine to stop a completion. Errors are ignored.
 func (e *Engine) cancel(requestID string) {
 	ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 	defer done()
@@ -221,7 +221,7 @@
 	}
 }
 
-// ListHolds returns all cache that the engine keeps for tags.
+// ListHolds returns all holds of the engine.
 func (e *Engine) ListHolds(ctx context.Context) ([]Hold, error) {
 	body, err := e.order(ctx, http.MethodGet, "/v1/holds", nil)
 	if err != nil {
@@ -229,23 +229,23 @@
 	}
 	var holds []Hold
 	if err := json.Unmarshal(body, &holds); err != nil {
-		return nil, asBroken(err)
+		return nil, callError(err)
 	}
 	return holds, nil
 }
 
-// Release drops the cache kept for a tag. Releasing one that is not kept succeeds.
+// Release releases the hold of a tag. It succeeds if there is none.
 func (e *Engine) Release(ctx context.Context, tag string) error {
 	_, err := e.order(ctx, http.MethodDelete, "/v1/holds/"+url.PathEscape(tag), nil)
 	return err
 }
 
-// ExportCache returns what an engine keeps for a tag, in the engine's own form.
+// ExportCache returns the cache held for a tag, in the engine's own format.
 func (e *Engine) ExportCache(ctx context.Context, tag string) ([]byte, error) {
 	return e.order(ctx, http.MethodGet, "/v1/holds/"+url.PathEscape(tag)+"/export", nil)
 }
 
-// ImportCache gives an engine what another one exported.
+// ImportCache loads cache that another engine exported for a tag.
 func (e *Engine) ImportCache(ctx context.Context, tag string, exported []byte) error {
 	_, err := e.order(ctx, http.MethodPut, "/v1/holds/"+url.PathEscape(tag)+"/import", exported)
 	return err
@@ -258,7 +258,7 @@
 	}
 	answer, err := resp.ReadAll(ctx, maxAnswerBytes)
 	if err != nil {
-		return nil, asBroken(err)
+		return nil, callError(err)
 	}
 	if resp.Status >= http.StatusMultipleChoices {
 		return nil, verdict.Unknown(verdict.Unavailable, brokeRetry, "%s answered %d", e.client.Addr(), resp.Status)
@@ -266,5 +266,5 @@
 	return answer, nil
 }
 
-// Close ends the client's idle connections.
+// Close closes the client's idle connections.
 func (e *Engine) Close() { e.client.Close() }
--- a/internal/rookpassd/backend/errors.go
+++ b/internal/rookpassd/backend/errors.go
@@ -1,6 +1,6 @@
-// Package backend reaches backend servers: model engines, tool services and plain services. It chooses one
-// for each call, keeps the calls of organisations in a fair order while all are busy, and says of every
-// failure whether the call may have run.
+// Package backend sends calls to backend servers: model engines, tool services and plain services. It selects a
+// server for each call, queues calls fairly between organisations while all servers are busy, and reports for
+// each failure whether the call may have run.
 package backend
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/rookpass/rookpass/internal/transport/httpclient"
 )
 
-// defaultIdleTimeout is how long a backend server may send nothing.
+// defaultIdleTimeout is the longest time without any byte from a backend server.
 const defaultIdleTimeout = 30 * time.Second
 
-// maxAnswerBytes bounds a service's answer.
+// maxAnswerBytes limits the response body of a backend server, except for completions.
 const maxAnswerBytes = 512 << 10
 
-// Pauses that a caller is told when a backend server gives none.
+// Retry delays given to callers. busyRetry is the minimum if a refusing server sends its own.
 const (
 	busyRetry  = 500 * time.Millisecond
 	brokeRetry = time.Second
 )
 
-// sendError gives a failure to send its verdict.
+// sendError gives a failed HTTP request its verdict: NotRun only if the request was not sent.
 func sendError(err error) error {
 	if errors.Is(err, httpclient.ErrNotSent) {
 		return verdict.RetryLater(verdict.Unavailable, busyRetry, "%v", err)
@@ -32,8 +32,8 @@
 	return verdict.Unknown(verdict.Unavailable, brokeRetry, "%v", err)
 }
 
-// refusal returns the error of a response that says "not now", or nil. 429 and 503 mean that the server
-// took no work on; docs/DESIGN.md states this as the contract with backend servers.
+// refusal returns the error of a response with status 429 or 503, or nil. By the contract with backend servers in
+// docs/DESIGN.md, these mean that the server did not run the call.
 func refusal(addr string, resp *httpclient.Response) error {
 	if resp.Status != http.StatusTooManyRequests && resp.Status != http.StatusServiceUnavailable {
 		return nil
--- a/internal/rookpassd/backend/health.go
+++ b/internal/rookpassd/backend/health.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Outlier ejection: a server is left out after some failures in a row, for a time that doubles while it
-// keeps failing.
+// Outlier ejection: a server is ejected after consecutive failures, for a time that doubles while it keeps
+// failing.
 const (
 	failuresToEject = 3
 	firstEjection   = time.Second
@@ -21,14 +21,14 @@
 	ejection time.Duration
 }
 
-// ejected tells whether the server is left out now. When its time is over one failure ejects it again.
+// ejected reports whether the server is ejected now. After an ejection a single failure ejects it again.
 func (h *health) ejected(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return now.Before(h.until)
 }
 
-// report counts the outcome of a call. It returns how long the server is now left out; 0 when it is not.
+// report counts the outcome of a call. It returns the duration of a new ejection, or 0.
 func (h *health) report(now time.Time, ok bool) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/rookpassd/backend/pool.go
+++ b/internal/rookpassd/backend/pool.go
@@ -10,17 +10,17 @@
 	"github.com/rookpass/rookpass/internal/decide/policy"
 )
 
-// Bounds on waiting for a backend server.
+// Limits on queued calls.
 const (
 	maxQueuedPerOrganisation = 256
 	maxQueued                = 4096
 )
 
-// server is one backend server. Its places are shared by all models or services that it serves.
+// server is one backend server. Its slots are shared by all models or services that it serves.
 type server struct {
 	name   string
 	health *health
-	// Exactly one of the clients is set, by the server's kind.
+	// Exactly one of the clients is set, depending on the server's kind.
 	engine  *Engine
 	service *Service
 	// The following are guarded by the lock that all pools share.
@@ -31,8 +31,8 @@
 	pools    []*pool
 }
 
-// pool hands out the places of the servers that serve one model or service. While all are taken, calls
-// wait in a fair order.
+// pool assigns slots of the servers that serve one model or service. While all slots are taken, calls wait in a
+// fair queue.
 type pool struct {
 	// mu is shared by all pools of a runner.
 	mu      *sync.Mutex
@@ -41,8 +41,8 @@
 	costs   policy.Costs
 }
 
-// ask is a call that wants a place.
-type ask struct {
+// slotRequest is a call that needs a slot.
+type slotRequest struct {
 	organisation string
 	weight       int32
 	priority     int32
@@ -54,10 +54,11 @@
 	granted      chan *server
 }
 
-// acquire returns a server with a place for the call. release must be called once with the outcome.
-func (p *pool) acquire(ctx context.Context, a *ask) (*server, error) {
+// acquire waits for a slot and returns its server, or nil if no server is left that may run the call. release must
+// be called once with the outcome.
+func (p *pool) acquire(ctx context.Context, a *slotRequest) (*server, error) {
 	a.granted = make(chan *server, 1)
-	waiting, err := p.enter(a)
+	waiting, err := p.enqueue(a)
 	if err != nil || waiting == nil {
 		return p.granted(a), err
 	}
@@ -65,12 +66,12 @@
 	case s := <-a.granted:
 		return s, nil
 	case <-ctx.Done():
-		p.leave(a, waiting)
-		return nil, verdict.RetryLater(verdict.Timeout, busyRetry, "no backend server came free in time")
+		p.withdraw(a, waiting)
+		return nil, verdict.RetryLater(verdict.Timeout, busyRetry, "no backend server became free in time")
 	}
 }
 
-func (p *pool) granted(a *ask) *server {
+func (p *pool) granted(a *slotRequest) *server {
 	select {
 	case s := <-a.granted:
 		return s
@@ -79,15 +80,15 @@
 	}
 }
 
-// enter grants a place at once or queues the call. A refusal is immediate.
-func (p *pool) enter(a *ask) (*policy.QueuedCall, error) {
+// enqueue grants a slot at once, in which case it returns nil, or queues the call.
+func (p *pool) enqueue(a *slotRequest) (*policy.QueuedCall, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.usable(a) {
-		return nil, verdict.RetryLater(verdict.Unavailable, firstEjection, "no backend server takes work for this target")
+		return nil, verdict.RetryLater(verdict.Unavailable, firstEjection, "no backend server is available for this target")
 	}
 	if p.queue.Len() >= maxQueued || p.queue.LenOf(a.organisation) >= maxQueuedPerOrganisation {
-		return nil, verdict.RetryLater(verdict.Overloaded, busyRetry, "too many calls wait")
+		return nil, verdict.RetryLater(verdict.Overloaded, busyRetry, "too many queued calls")
 	}
 	waiting := &policy.QueuedCall{
 		Organisation: a.organisation, Weight: a.weight, Priority: a.priority,
@@ -101,25 +102,25 @@
 	return waiting, nil
 }
 
-// usable tells whether any server could take the call, now or later.
-func (p *pool) usable(a *ask) bool {
+// usable reports whether any server could run the call, now or after it becomes free.
+func (p *pool) usable(a *slotRequest) bool {
 	now := time.Now()
 	return slices.ContainsFunc(p.servers, func(s *server) bool {
 		return !s.draining && !s.health.ejected(now) && !slices.Contains(a.avoid, s.name)
 	})
 }
 
-// dispatch gives free places to the calls at the head of the queue.
+// dispatch assigns free slots to the calls at the head of the queue.
 func (p *pool) dispatch() {
 	now := time.Now()
 	for p.queue.Len() > 0 && (len(p.servers) == 0 || p.free(now)) {
-		a := p.queue.Pop().Value.(*ask)
+		a := p.queue.Pop().Value.(*slotRequest)
 		if i := policy.ChooseEngine(p.engines(a, now), a.promptTokens, p.costs); i >= 0 {
 			p.servers[i].inFlight++
 			a.granted <- p.servers[i]
 			continue
 		}
-		// There is no server left, or only such as the call avoids: it is refused at once.
+		// No server is left that the call does not exclude: the call is refused.
 		a.granted <- nil
 	}
 }
@@ -130,7 +131,7 @@
 	})
 }
 
-func (p *pool) engines(a *ask, now time.Time) []policy.Engine {
+func (p *pool) engines(a *slotRequest, now time.Time) []policy.Engine {
 	engines := make([]policy.Engine, len(p.servers))
 	for i, s := range p.servers {
 		engines[i] = policy.Engine{
@@ -147,8 +148,8 @@
 	return engines
 }
 
-// leave takes a call out of the queue whose caller stopped waiting. A place granted meanwhile goes back.
-func (p *pool) leave(a *ask, waiting *policy.QueuedCall) {
+// withdraw removes a call from the queue after its caller stopped waiting and frees a slot granted meanwhile.
+func (p *pool) withdraw(a *slotRequest, waiting *policy.QueuedCall) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.queue.Remove(waiting)
@@ -157,7 +158,7 @@
 	}
 }
 
-// release gives a place back and reports how the call went.
+// release frees a slot and reports the outcome of the call to the server's health.
 func (p *pool) release(s *server, ok bool) {
 	if ejection := s.health.report(time.Now(), ok); ejection > 0 {
 		time.AfterFunc(ejection, func() { p.recheck(s) })
@@ -167,7 +168,7 @@
 	s.free()
 }
 
-// free gives a place back and offers it to all that wait for the server.
+// free frees a slot and dispatches the queues of all pools of the server.
 func (s *server) free() {
 	s.inFlight--
 	for _, p := range s.pools {
@@ -175,7 +176,7 @@
 	}
 }
 
-// recheck serves waiting calls when a server's ejection is over.
+// recheck dispatches queued calls after a server's ejection has ended.
 func (p *pool) recheck(s *server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -21,7 +21,7 @@
 	"github.com/rookpass/rookpass/internal/transport/httpclient"
 )
 
-// defaultCapacity is how many calls a backend server runs at once when its configuration names no number.
+// defaultCapacity is the number of concurrent calls of a backend server whose configuration sets none.
 const defaultCapacity = 16
 
 // Options configure a Runner.
@@ -29,11 +29,11 @@
 	Dial   httpclient.DialFunc
 	Config *config.Store
 	Tracer trace.Tracer
-	// DataCentre is this daemon's.
+	// DataCentre is the data centre of this daemon.
 	DataCentre string
-	// Daemons returns how many daemons share the backend servers, at least 1.
+	// Daemons returns the number of daemons that share the backend servers.
 	Daemons func() int
-	// IdleTimeout bounds the time without any byte from a backend server; 0 takes the default.
+	// IdleTimeout limits the time without any byte from a backend server; 0 means the default.
 	IdleTimeout time.Duration
 }
 
@@ -47,7 +47,7 @@
 	mu sync.Mutex
 }
 
-// Stats counts what a runner has done.
+// Stats holds the counters of a Runner.
 type Stats struct {
 	ModelCalls   atomic.Int64
 	ServiceCalls atomic.Int64
@@ -61,17 +61,17 @@
 	servers  map[string]*server
 	// pools is keyed by target: a model or service name with its kind.
 	pools map[target]*pool
-	// costs are the highest charges for one call, by service name.
+	// costs holds the highest charge for one call, in tokens, by service name.
 	costs map[string]int64
 }
 
-// target is what a call asks for.
+// target identifies a model or service.
 type target struct {
 	kind rookpassv1.CallKind
 	name string
 }
 
-// NewRunner returns a runner that serves the configuration as it is now. Run keeps it up to date.
+// NewRunner returns a runner for the current configuration. Run keeps it up to date.
 func NewRunner(options Options) *Runner {
 	if options.IdleTimeout == 0 {
 		options.IdleTimeout = defaultIdleTimeout
@@ -82,10 +82,9 @@
 	return r
 }
 
-// Stats returns the counters.
 func (r *Runner) Stats() *Stats { return &r.stats }
 
-// Run refreshes the fleet at each change of the configuration until ctx ends.
+// Run refreshes the fleet on each configuration change until ctx ends.
 func (r *Runner) Run(ctx context.Context) error {
 	for {
 		changed := r.options.Config.Changed()
@@ -98,8 +97,7 @@
 	}
 }
 
-// Refresh takes over the present configuration and number of daemons. Clients and pools of servers that
-// stay are kept.
+// Refresh applies the current configuration and number of daemons. Clients and pools of unchanged servers are kept.
 func (r *Runner) Refresh() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +108,7 @@
 		pools:    map[target]*pool{},
 		costs:    map[string]int64{},
 	}
-	// In order of name, so that equal servers are preferred in the same order on every daemon and run.
+	// Sorted by name, so that ties between servers are broken in the same way everywhere.
 	for _, name := range slices.Sorted(maps.Keys(next.backends)) {
 		r.addServer(old, next, name, next.backends[name])
 	}
@@ -125,7 +123,7 @@
 	r.fleet.Store(next)
 }
 
-// sameServer tells whether a name stands for the same server as before.
+// sameServer reports whether a server has the same address and kind as before.
 func sameServer(old, now *rookpassv1.BackendServer) bool {
 	return old.GetAddress() == now.Address && old.GetKind() == now.Kind
 }
@@ -159,7 +157,7 @@
 	}
 }
 
-// poolFor returns the next fleet's pool of a target; one that was there before keeps its waiting calls.
+// poolFor returns the next fleet's pool of a target. An existing pool keeps its queued calls.
 func (r *Runner) poolFor(old, next *fleet, t target) *pool {
 	if p := next.pools[t]; p != nil {
 		return p
@@ -173,7 +171,7 @@
 	return p
 }
 
-// share is the part of a server's places that this daemon may use without asking the others.
+// share returns the number of a server's slots that this daemon may use: an equal share per daemon, rounded up.
 func (r *Runner) share(places int32) int {
 	if places == 0 {
 		places = defaultCapacity
@@ -189,7 +187,7 @@
 	if p == nil {
 		return holder.ModelResult{}, verdict.RetryLater(verdict.Unavailable, brokeRetry, "no engine serves %q", call.Model)
 	}
-	a := &ask{
+	a := &slotRequest{
 		organisation: call.Organisation,
 		weight:       r.weight(call.Organisation),
 		priority:     call.Priority,
@@ -218,7 +216,7 @@
 	return result, err
 }
 
-// bytesPerToken is the usual size of a token of text; it only serves to compare calls.
+// bytesPerToken is an estimate that is used only to compare calls.
 const bytesPerToken = 4
 
 func completion(call holder.ModelCall) CompletionRequest {
@@ -234,15 +232,16 @@
 	}
 }
 
-// noServer returns the error of a call that no server was given to.
+// noServer returns the error of a call that got no server.
 func noServer(err error) error {
 	if err != nil {
 		return err
 	}
-	return verdict.RetryLater(verdict.Unavailable, busyRetry, "no other backend server takes the call")
+	return verdict.RetryLater(verdict.Unavailable, busyRetry, "no other backend server is available for the call")
 }
 
-// healthy tells what an outcome says of the server: a refusal and a caller's deadline say nothing bad.
+// healthy reports whether an outcome counts as a success of the server. Refusals and the end of the caller's
+// context do not count as failures.
 func (r *Runner) healthy(ctx context.Context, err error) bool {
 	if err == nil || ctx.Err() != nil {
 		return true
@@ -260,10 +259,11 @@
 	return max(1, r.options.Config.View().Organisations[organisation].GetWeight())
 }
 
-// maxServiceAttempts is the retry budget of one idempotent service call.
+// maxServiceAttempts is the maximum number of attempts of one service call, including the first.
 const maxServiceAttempts = 3
 
-// Service implements holder.Runner. Only what did not run, or may run again, is tried at another server.
+// Service implements holder.Runner. A failed call is retried at another server only if it did not run or is
+// idempotent.
 func (r *Runner) Service(ctx context.Context, call holder.ServiceCall) (holder.ServiceResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
 	defer cancel()
@@ -290,7 +290,7 @@
 	}
 }
 
-// serviceOnce makes one attempt. The name is empty when no server was given to the call.
+// serviceOnce makes one attempt and returns the name of the server, which is empty if the call got none.
 func (r *Runner) serviceOnce(ctx context.Context, call holder.ServiceCall, avoid []string) (string, Response, error) {
 	f := r.fleet.Load()
 	kind := rookpassv1.CallKind_CALL_KIND_TOOL
@@ -305,7 +305,7 @@
 	if p == nil {
 		return "", Response{}, verdict.RetryLater(verdict.Unavailable, brokeRetry, "no server serves %q", call.Service)
 	}
-	s, err := p.acquire(ctx, &ask{
+	s, err := p.acquire(ctx, &slotRequest{
 		organisation: call.Organisation, weight: r.weight(call.Organisation), costTokens: 1, avoid: avoid,
 	})
 	if err != nil || s == nil {
@@ -325,7 +325,7 @@
 	return r.fleet.Load().costs[service]
 }
 
-// Engine returns the client of an engine, or nil.
+// Engine returns the client of an engine, or nil if there is none.
 func (r *Runner) Engine(name string) *Engine {
 	if s := r.fleet.Load().servers[name]; s != nil {
 		return s.engine
@@ -333,7 +333,7 @@
 	return nil
 }
 
-// Engines returns the names of all engines, in order.
+// Engines returns the sorted names of all engines.
 func (r *Runner) Engines() []string {
 	var names []string
 	for name, s := range r.fleet.Load().servers {
@@ -345,7 +345,7 @@
 	return names
 }
 
-// Status returns what operators see of the backend servers.
+// Status returns the status of all backend servers, sorted by name.
 func (r *Runner) Status() []*rookpassv1.BackendStatus {
 	f := r.fleet.Load()
 	r.mu.Lock()
--- a/internal/rookpassd/backend/service.go
+++ b/internal/rookpassd/backend/service.go
@@ -13,12 +13,12 @@
 // Service is the client of one tool service or plain service.
 type Service struct{ client *httpclient.Client }
 
-// NewService returns a client. idle bounds the time without any byte from the service.
+// NewService returns a client. idle limits the time without any byte from the service.
 func NewService(addr string, dial httpclient.DialFunc, idle time.Duration) *Service {
 	return &Service{client: httpclient.New(addr, dial, idle)}
 }
 
-// Response is a service's whole answer.
+// Response is the complete response of a service.
 type Response struct {
 	Status int
 	Body   []byte
@@ -27,8 +27,8 @@
 // ToolPath returns the path at which a tool service serves a tool.
 func ToolPath(name string) string { return "/v1/tools/" + url.PathEscape(name) }
 
-// Send sends one request: GET for an idempotent one without a body, POST otherwise. Any answer that is not
-// a refusal is an answer, whatever its status.
+// Send sends one request: GET if it is idempotent and has no body, POST otherwise. Any response other than a
+// refusal is returned without an error, whatever its status.
 func (s *Service) Send(ctx context.Context, path string, body []byte, requestID string, idempotent bool) (Response, error) {
 	r := httpclient.Request{
 		Method:     http.MethodPost,
@@ -50,10 +50,10 @@
 	}
 	answer, err := resp.ReadAll(ctx, maxAnswerBytes)
 	if err != nil {
-		return Response{}, verdict.Unknown(verdict.Unavailable, brokeRetry, "%s: answer broke off: %v", s.client.Addr(), err)
+		return Response{}, verdict.Unknown(verdict.Unavailable, brokeRetry, "%s: reading the response: %v", s.client.Addr(), err)
 	}
 	return Response{Status: resp.Status, Body: answer}, nil
 }
 
-// Close ends the client's idle connections.
+// Close closes the client's idle connections.
 func (s *Service) Close() { s.client.Close() }
