--- a/internal/rookpassd/journal/checkpoint.go
+++ b/internal/rookpassd/journal/checkpoint.go
@@ -14,17 +14,17 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// maxChunkBytes is the size of a checkpoint's objects.
+// maxChunkBytes is the maximum size of one object of a checkpoint.
 const maxChunkBytes = 960 << 10
 
-// windowBytes is the codec's window: memory that each checkpoint being written takes.
+// windowBytes is the window size of the zstd encoder. It limits the memory used while a checkpoint is written.
 const windowBytes = 256 << 10
 
-// maxSnapshotBytes bounds one program's snapshot, against damaged objects.
+// maxSnapshotBytes limits one program's decoded snapshot, as a protection against corrupt objects.
 const maxSnapshotBytes = 64 << 20
 
-// WriteCheckpoint writes marshalled snapshots as one compressed stream, cut into objects below prefix. It
-// returns how many objects were written, also with an error.
+// WriteCheckpoint writes marshalled snapshots as one compressed stream, split into objects under prefix. It returns
+// the number of objects written, also on error.
 func WriteCheckpoint(ctx context.Context, prefix string, snapshots [][]byte,
 	write func(ctx context.Context, key string, value []byte) error) (uint32, error) {
 	var compressed bytes.Buffer
@@ -45,7 +45,7 @@
 		return nil
 	}
 	for _, snapshot := range snapshots {
-		// The length prefix is what protodelim reads.
+		// The length prefix has the format that protodelim reads.
 		if _, err := encoder.Write(binary.AppendUvarint(nil, uint64(len(snapshot)))); err != nil {
 			return chunks, Error.Wrap(err)
 		}
@@ -62,7 +62,7 @@
 	return chunks, flush(0)
 }
 
-// ReadCheckpoint calls visit with each snapshot of a checkpoint. Without chunks there is nothing to read.
+// ReadCheckpoint calls visit with each snapshot of a checkpoint. A checkpoint with 0 chunks is empty.
 func ReadCheckpoint(ctx context.Context, api objectapi.API, prefix string, chunks uint32, visit func(*peerv1.ProgramSnapshot)) error {
 	if chunks == 0 {
 		return nil
--- a/internal/rookpassd/journal/journal_test.go
+++ b/internal/rookpassd/journal/journal_test.go
@@ -45,7 +45,7 @@
 	for _, row := range []struct {
 		name  string
 		fault apitest.Fault
-		// lasts is how long the fault does; within is when the commit must have succeeded.
+		// lasts is the duration of the fault; within is the longest time the commit may take.
 		lasts, within time.Duration
 	}{
 		{"no fault", apitest.None, 0, 100 * time.Millisecond},
@@ -89,7 +89,7 @@
 	})
 }
 
-// frozen holds the answers of writes back until it is thawed.
+// frozen delays the responses of writes until thaw is closed.
 type frozen struct {
 	*memapi.API
 	thaw chan struct{}
@@ -101,12 +101,9 @@
 	return object, err
 }
 
-// TestLateWordOfASealedLogIsNotActedOn. What was seen: a tool call took effect 6 ms after its frozen owner had thawed,
-// behind a later call of the same program. Order: the owner froze while its intent was written; another daemon sealed its
-// log, closed the call and ran the next ones; at the thaw the word came that the intent is durable, and the call was
-// sent. Cause: that word was taken for news however old it was. The evidence is the tool's record of effects with their
-// times beside the time of the thaw.
-func TestLateWordOfASealedLogIsNotActedOn(t *testing.T) {
+// TestSealDuringSlowWriteIsDetected guards against a daemon that pauses while it writes an intent and then sends
+// the call, although another daemon has sealed the log and closed the call meanwhile.
+func TestSealDuringSlowWriteIsDetected(t *testing.T) {
 	for name, row := range map[string]struct {
 		freeze time.Duration
 		sealed bool
@@ -157,7 +154,7 @@
 		assert.NilError(t, waitUntil(func() bool { return w.PendingBytes() == 0 }))
 		segments, err := journal.Seal(t.Context(), api, "d.1", 0, "d.2", "test")
 		assert.NilError(t, err)
-		assert.Equal(t, len(records(segments)), count-1, "what was accepted is kept")
+		assert.Equal(t, len(records(segments)), count-1, "accepted entries must be durable")
 	})
 }
 
@@ -174,8 +171,8 @@
 	})
 }
 
-// TestSealProperty: whatever the object API does and whenever the seal comes, exactly the entries that were
-// reported durable stand in the sealed log, in order, or were in doubt when the writer ended.
+// TestSealProperty checks that, for any sequence of faults and time of the seal, the sealed log holds exactly the
+// entries that were reported durable, in order.
 func TestSealProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		testbubble.Run(t, func(t *testing.T) {
@@ -234,7 +231,7 @@
 		}
 		<-time.After(100 * time.Millisecond)
 	}
-	return errors.New("did not come true")
+	return errors.New("condition not met within 10 s")
 }
 
 func TestCheckpointRoundTrip(t *testing.T) {
--- a/internal/rookpassd/journal/seal.go
+++ b/internal/rookpassd/journal/seal.go
@@ -9,7 +9,7 @@
 	"github.com/rookpass/rookpass/internal/rookpassd/keyspace"
 )
 
-// Read returns the segments from..to of a log. Every one of them must be there.
+// Read returns the segments from..to of a log, both included. It returns an error if one of them is missing.
 func Read(ctx context.Context, api objectapi.API, incarnation string, from, to uint64) ([]*peerv1.Segment, error) {
 	var segments []*peerv1.Segment
 	for number := from; number <= to; number++ {
@@ -22,11 +22,10 @@
 	return segments, nil
 }
 
-// Seal ends the log of an incarnation and returns its segments after the given one. It may be called by
-// any daemon, again and at once with others: the first seal stands. The writer of a sealed log can make
-// nothing durable any more.
+// Seal ends the log of an incarnation and returns its segments after the given one. Any daemon may call it,
+// repeatedly and concurrently: the first seal is kept. The writer of a sealed log can't make further records durable.
 //
-// by is the incarnation that seals and reason says why; both are kept in the seal.
+// by is the incarnation that seals the log and reason says why; both are stored in the seal.
 func Seal(ctx context.Context, api objectapi.API, incarnation string, after uint64, by, reason string) ([]*peerv1.Segment, error) {
 	var segments []*peerv1.Segment
 	for number := after + 1; ; {
@@ -36,7 +35,7 @@
 			if err := putSeal(ctx, api, incarnation, number, by, reason); err != nil {
 				return nil, err
 			}
-			// Read again: the key holds this seal, another one, or a segment that came first.
+			// Read again: the key now holds this seal, another seal, or a segment that was written first.
 		case err != nil:
 			return nil, Error.New("sealing %s at %d: %w", incarnation, number, err)
 		case segment.Seal != nil:
@@ -48,8 +47,8 @@
 	}
 }
 
-// ReadUnsealed returns the segments of a log after the given one without ending it. It has the signature of Seal,
-// for the test that shows what the seal is for.
+// ReadUnsealed returns the segments of a log after the given one without sealing it. It has the signature of Seal,
+// so that a test can replace Seal and check that the missing seal is detected.
 func ReadUnsealed(ctx context.Context, api objectapi.API, incarnation string, after uint64, _, _ string) ([]*peerv1.Segment, error) {
 	var segments []*peerv1.Segment
 	for number := after + 1; ; number++ {
@@ -64,7 +63,8 @@
 	}
 }
 
-// putSeal tries to create a seal. Conflicts and unknown outcomes are not errors: the caller reads the key.
+// putSeal tries to create a seal. Conflicts and unknown outcomes are not errors, because the caller reads the key
+// again.
 func putSeal(ctx context.Context, api objectapi.API, incarnation string, number uint64, by, reason string) error {
 	stored, err := EncodeSegment(&peerv1.Segment{
 		Incarnation: incarnation, Number: number, Seal: &peerv1.Seal{By: by, Reason: reason},
--- a/internal/rookpassd/journal/segment.go
+++ b/internal/rookpassd/journal/segment.go
@@ -1,9 +1,9 @@
-// Package journal makes the programs' history durable: a daemon's incarnation writes one log, a row of
-// segment objects numbered from 1 without gaps, each created only if its key is free.
+// Package journal makes the programs' history durable. Each incarnation of a daemon writes one log: a sequence of
+// segment objects numbered from 1 without gaps, each created only if its key does not exist.
 //
-// The same rule ends a log. Whoever creates the next segment first decides: a daemon that takes over
-// creates a seal there, and from then on the old writer's next segment meets a conflict. So a record is
-// durable exactly if it stands before the seal, whatever the writer's clock says.
+// A daemon that takes over seals the log by creating a seal object at the next segment's key. The old writer's next
+// segment then fails with a conflict. A record of a sealed log is therefore durable exactly if it precedes the seal,
+// independent of clocks.
 package journal
 
 import (
@@ -17,10 +17,10 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("journal")
 
-// maxSegmentBytes bounds a decoded segment, against damaged or hostile objects.
+// maxSegmentBytes limits a decoded segment, as a protection against corrupt or malicious objects.
 const maxSegmentBytes = 16 << 20
 
-// Both coders are safe for concurrent use through EncodeAll and DecodeAll.
+// EncodeAll and DecodeAll are safe for concurrent use.
 var (
 	encoder, _ = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxSegmentBytes))
@@ -35,7 +35,7 @@
 	return encoder.EncodeAll(raw, nil), nil
 }
 
-// DecodeSegment reads what EncodeSegment made.
+// DecodeSegment decodes the stored form of a segment.
 func DecodeSegment(stored []byte) (*peerv1.Segment, error) {
 	raw, err := decoder.DecodeAll(stored, nil)
 	if err != nil {
--- a/internal/rookpassd/journal/writer.go
+++ b/internal/rookpassd/journal/writer.go
@@ -18,35 +18,35 @@
 )
 
 var (
-	// ErrSealed means that another daemon ended this log: the records were not written and never will be, or they were
-	// written before and the word of it came too late to act on them.
+	// ErrSealed means that another daemon has sealed this log: the records were not written, or they were written
+	// but the log was sealed before that could be confirmed.
 	ErrSealed = errors.New("log sealed by another daemon")
-	// ErrFull means that too much waits to be written; nothing was taken.
+	// ErrFull means that too many bytes are pending; the entry was not queued.
 	ErrFull = errors.New("journal full")
 )
 
-// Retry pauses while the object API does not answer.
+// Backoff bounds while the object API is unavailable.
 const (
 	firstRetryPause = 20 * time.Millisecond
 	maxRetryPause   = 2 * time.Second
 )
 
-// slowAnswer is how old the word that a segment is durable may be before it is asked whether the log has been sealed
-// since. A third of the time in which peers find a daemon dead and take over, 1.5 s. Without it a daemon that was
-// frozen while it wrote a tool call's intent ran that call when it thawed, behind the calls of its successor.
-const slowAnswer = 500 * time.Millisecond
+// maxConfirmAge is the maximum time from the start of a write to its confirmation before the writer checks again that
+// the log is not sealed. It must be below the time in which peers detect a failed daemon and take over. It prevents a
+// daemon that was paused during the write from sending a call after its successor has closed it.
+const maxConfirmAge = 500 * time.Millisecond
 
-// Options bound a Writer.
+// Options holds the limits of a Writer.
 type Options struct {
-	// MaxPendingBytes is how much may wait while the object API is away (the spill). Bytes.
+	// MaxPendingBytes limits the entries that wait to be written, in bytes.
 	MaxPendingBytes int
-	// MaxSegmentBytes is the most that goes into one segment before compression. Bytes.
+	// MaxSegmentBytes limits one segment before compression, in bytes. A larger single entry gets its own segment.
 	MaxSegmentBytes int
-	// WriteTimeout bounds one attempt to write a segment.
+	// WriteTimeout limits one attempt to write a segment.
 	WriteTimeout time.Duration
 }
 
-// DefaultOptions returns the bounds that rookpassd uses.
+// DefaultOptions returns the default limits.
 func DefaultOptions() Options {
 	return Options{MaxPendingBytes: 64 << 20, MaxSegmentBytes: 900 << 10, WriteTimeout: 2 * time.Second}
 }
@@ -54,7 +54,7 @@
 // Entry is a group of records that becomes durable together.
 type Entry struct {
 	Records []*peerv1.Record
-	// Apply is called once the records are durable, in log order, before Done is closed. May be nil.
+	// Apply is called after the records are durable, in log order, before Done is closed. It may be nil.
 	Apply func()
 
 	size int
@@ -62,10 +62,10 @@
 	err  error
 }
 
-// Done is closed when the entry's fate is known.
+// Done returns a channel that is closed when the outcome of the entry is known.
 func (e *Entry) Done() <-chan struct{} { return e.done }
 
-// Err returns nil if the records are durable. Only valid after Done.
+// Err returns nil if the records are durable. It is valid only after Done is closed.
 func (e *Entry) Err() error { return e.err }
 
 // Writer writes one incarnation's log. Use NewWriter, then Run.
@@ -86,9 +86,8 @@
 	committed atomic.Int64
 }
 
-// NewWriter returns a writer for a new incarnation's log. The limiter is this daemon's share of the
-// object API's writes: while it has tokens a commit leaves at once, and as it is used up commits gather
-// more records.
+// NewWriter returns a writer for a new incarnation's log. The limiter limits this daemon's writes to the object API.
+// While it has no tokens, entries are batched into larger segments.
 func NewWriter(api objectapi.API, incarnation string, limiter *rate.Limiter, options Options) *Writer {
 	return &Writer{
 		api: api, incarnation: incarnation, limiter: limiter, options: options,
@@ -96,29 +95,29 @@
 	}
 }
 
-// Incarnation returns the name of the log.
+// Incarnation returns the incarnation that writes the log.
 func (w *Writer) Incarnation() string { return w.incarnation }
 
 // Position returns the number of the last durable segment whose entries have all been applied.
 func (w *Writer) Position() uint64 { return w.position.Load() }
 
-// Segments returns how many segments this writer has committed.
+// Segments returns the number of segments this writer has committed.
 func (w *Writer) Segments() int64 { return w.committed.Load() }
 
-// Stalled tells whether the object API has refused or lost the segment now being written.
+// Stalled reports whether the latest attempt to write the current segment has failed.
 func (w *Writer) Stalled() bool { return w.stalled.Load() }
 
-// PendingBytes returns how much waits to be written.
+// PendingBytes returns the size of all entries whose outcome is not known yet.
 func (w *Writer) PendingBytes() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.bytes
 }
 
-// Full tells whether new work should be refused: half of the spill is kept for work already accepted.
+// Full reports whether new work should be refused. Half of MaxPendingBytes is reserved for work already accepted.
 func (w *Writer) Full() bool { return w.PendingBytes() > w.options.MaxPendingBytes/2 }
 
-// Append queues an entry and returns at once. The error is ErrFull or ErrSealed, or nil.
+// Append queues an entry without waiting. It returns ErrFull, ErrSealed or nil.
 func (w *Writer) Append(entry *Entry) error {
 	entry.done = make(chan struct{})
 	for _, record := range entry.Records {
@@ -141,8 +140,8 @@
 	return nil
 }
 
-// Commit appends an entry and waits until its fate is known or ctx ends. After ctx ends the entry may
-// still become durable.
+// Commit appends an entry and waits until its outcome is known or ctx ends. After ctx has ended, the entry may still
+// become durable.
 func (w *Writer) Commit(ctx context.Context, entry *Entry) error {
 	if err := w.Append(entry); err != nil {
 		return err
@@ -170,8 +169,8 @@
 	}
 }
 
-// next waits for an entry and for this daemon's share of writes, then returns all that can go into one
-// segment; entries that arrive while it waits are in it.
+// next waits for an entry and for the limiter, then returns the entries of the next segment, including those that
+// arrived while it waited.
 func (w *Writer) next(ctx context.Context) ([]*Entry, error) {
 	for w.PendingBytes() == 0 {
 		select {
@@ -203,7 +202,7 @@
 	return batch
 }
 
-// write makes one batch durable as the next segment, however often it takes.
+// write makes one batch durable as the next segment. It retries until it succeeds, the log is sealed or ctx ends.
 func (w *Writer) write(ctx context.Context, batch []*Entry) error {
 	number := w.position.Load() + 1
 	segment := &peerv1.Segment{Incarnation: w.incarnation, Number: number}
@@ -233,8 +232,8 @@
 	}
 }
 
-// tryWrite makes one attempt. After a conflict the key is taken: by this very segment, whose answer was lost,
-// or by a seal. After an unknown outcome it may be; if it is not, the segment is written again.
+// tryWrite makes one attempt to write a segment. After a conflict or an unknown outcome it reads the key, which holds
+// this segment, from an attempt whose response was lost, or a seal. If the key does not exist, the caller retries.
 func (w *Writer) tryWrite(ctx context.Context, number uint64, stored []byte) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.options.WriteTimeout)
 	defer cancel()
@@ -260,10 +259,10 @@
 	return true, nil
 }
 
-// confirmOpen returns true once it is certain that the log went on not long ago, where the last certain time is asked.
-// A seal takes the next segment's place.
+// confirmOpen returns true if the log was unsealed at a time that is at most maxConfirmAge ago. asked is the start of
+// the write. next is the segment number at which a seal would be.
 func (w *Writer) confirmOpen(ctx context.Context, next uint64, asked time.Time) (bool, error) {
-	for time.Since(asked) > slowAnswer {
+	for time.Since(asked) > maxConfirmAge {
 		asked = time.Now()
 		open, err := w.isOpen(ctx, next)
 		if !open {
@@ -273,7 +272,7 @@
 	return true, nil
 }
 
-// isOpen tells whether nobody has sealed the log at its next segment.
+// isOpen reports whether the log has no seal at its next segment.
 func (w *Writer) isOpen(ctx context.Context, next uint64) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.options.WriteTimeout)
 	defer cancel()
@@ -290,7 +289,7 @@
 	}
 }
 
-// finish applies a durable batch and lets its waiters go.
+// finish applies the batch if err is nil, and sets the outcome of its entries to err.
 func (w *Writer) finish(batch []*Entry, err error) {
 	size := 0
 	for _, entry := range batch {
@@ -312,7 +311,7 @@
 	}
 }
 
-// fail ends the writer: the batch and all that waits get err.
+// fail stops the writer: the batch and all pending entries get err.
 func (w *Writer) fail(batch []*Entry, err error) {
 	w.mu.Lock()
 	w.sealed = true
