--- a/internal/rookpassd/backend/engine.go
+++ b/internal/rookpassd/backend/engine.go
@@ -114,7 +114,7 @@
 	if errors.As(err, &typed) {
 		return err
 	}
-	return verdict.Unknown(verdict.Unavailable, brokeRetry, "engine: %v", err)
+	return verdict.Unknown(verdict.Unavailable, failureRetry, "engine: %v", err)
 }
 
 // stream reads one response. next is the index of the next event expected.
@@ -141,7 +141,7 @@
 				return Usage{}, errStreamEnd
 			}
 			if event.Error != "" {
-				return Usage{}, verdict.Unknown(verdict.Unavailable, brokeRetry, "engine: %s", event.Error)
+				return Usage{}, verdict.Unknown(verdict.Unavailable, failureRetry, "engine: %s", event.Error)
 			}
 			if event.Usage != nil {
 				return *event.Usage, nil
@@ -155,7 +155,7 @@
 			*next++
 			text([]byte(event.Text))
 		case <-ctx.Done():
-			return Usage{}, verdict.Unknown(verdict.Timeout, brokeRetry, "generation was cancelled: %v", context.Cause(ctx))
+			return Usage{}, verdict.Unknown(verdict.Timeout, failureRetry, "generation was cancelled: %v", context.Cause(ctx))
 		}
 	}
 }
@@ -182,7 +182,7 @@
 			return verdict.Refuse(verdict.Invalid, "%s answered %d", addr, resp.Status)
 		}
 	}
-	return verdict.Unknown(verdict.Unavailable, brokeRetry, "%s answered %d", addr, resp.Status)
+	return verdict.Unknown(verdict.Unavailable, failureRetry, "%s answered %d", addr, resp.Status)
 }
 
 // readEvents reads server-sent events until the stream ends.
@@ -223,7 +223,7 @@
 
 // ListHolds returns all holds of the engine.
 func (e *Engine) ListHolds(ctx context.Context) ([]Hold, error) {
-	body, err := e.order(ctx, http.MethodGet, "/v1/holds", nil)
+	body, err := e.do(ctx, http.MethodGet, "/v1/holds", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -236,22 +236,22 @@
 
 // Release releases the hold of a tag. It succeeds if there is none.
 func (e *Engine) Release(ctx context.Context, tag string) error {
-	_, err := e.order(ctx, http.MethodDelete, "/v1/holds/"+url.PathEscape(tag), nil)
+	_, err := e.do(ctx, http.MethodDelete, "/v1/holds/"+url.PathEscape(tag), nil)
 	return err
 }
 
 // ExportCache returns the cache held for a tag, in the engine's own format.
 func (e *Engine) ExportCache(ctx context.Context, tag string) ([]byte, error) {
-	return e.order(ctx, http.MethodGet, "/v1/holds/"+url.PathEscape(tag)+"/export", nil)
+	return e.do(ctx, http.MethodGet, "/v1/holds/"+url.PathEscape(tag)+"/export", nil)
 }
 
 // ImportCache loads cache that another engine exported for a tag.
 func (e *Engine) ImportCache(ctx context.Context, tag string, exported []byte) error {
-	_, err := e.order(ctx, http.MethodPut, "/v1/holds/"+url.PathEscape(tag)+"/import", exported)
+	_, err := e.do(ctx, http.MethodPut, "/v1/holds/"+url.PathEscape(tag)+"/import", exported)
 	return err
 }
 
-func (e *Engine) order(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+func (e *Engine) do(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	resp, err := e.client.Do(ctx, httpclient.Request{Method: method, Path: path, Body: body})
 	if err != nil {
 		return nil, sendError(err)
@@ -261,7 +261,7 @@
 		return nil, callError(err)
 	}
 	if resp.Status >= http.StatusMultipleChoices {
-		return nil, verdict.Unknown(verdict.Unavailable, brokeRetry, "%s answered %d", e.client.Addr(), resp.Status)
+		return nil, verdict.Unknown(verdict.Unavailable, failureRetry, "%s answered %d", e.client.Addr(), resp.Status)
 	}
 	return answer, nil
 }
--- a/internal/rookpassd/backend/errors.go
+++ b/internal/rookpassd/backend/errors.go
@@ -20,8 +20,8 @@
 
 // Retry delays given to callers. busyRetry is the minimum if a refusing server sends its own.
 const (
-	busyRetry  = 500 * time.Millisecond
-	brokeRetry = time.Second
+	busyRetry    = 500 * time.Millisecond
+	failureRetry = time.Second
 )
 
 // sendError gives a failed HTTP request its verdict: NotRun only if the request was not sent.
@@ -29,7 +29,7 @@
 	if errors.Is(err, httpclient.ErrNotSent) {
 		return verdict.RetryLater(verdict.Unavailable, busyRetry, "%v", err)
 	}
-	return verdict.Unknown(verdict.Unavailable, brokeRetry, "%v", err)
+	return verdict.Unknown(verdict.Unavailable, failureRetry, "%v", err)
 }
 
 // refusal returns the error of a response with status 429 or 503, or nil. By the contract with backend servers in
--- a/internal/rookpassd/backend/runner.go
+++ b/internal/rookpassd/backend/runner.go
@@ -185,7 +185,7 @@
 	f := r.fleet.Load()
 	p := f.pools[target{rookpassv1.CallKind_CALL_KIND_MODEL, call.Model}]
 	if p == nil {
-		return holder.ModelResult{}, verdict.RetryLater(verdict.Unavailable, brokeRetry, "no engine serves %q", call.Model)
+		return holder.ModelResult{}, verdict.RetryLater(verdict.Unavailable, failureRetry, "no engine serves %q", call.Model)
 	}
 	a := &slotRequest{
 		organisation: call.Organisation,
@@ -303,7 +303,7 @@
 	}
 	p := f.pools[target{kind, call.Service}]
 	if p == nil {
-		return "", Response{}, verdict.RetryLater(verdict.Unavailable, brokeRetry, "no server serves %q", call.Service)
+		return "", Response{}, verdict.RetryLater(verdict.Unavailable, failureRetry, "no server serves %q", call.Service)
 	}
 	s, err := p.acquire(ctx, &slotRequest{
 		organisation: call.Organisation, weight: r.weight(call.Organisation), costTokens: 1, avoid: avoid,
--- a/internal/rookpassd/backend/service.go
+++ b/internal/rookpassd/backend/service.go
@@ -50,7 +50,7 @@
 	}
 	answer, err := resp.ReadAll(ctx, maxAnswerBytes)
 	if err != nil {
-		return Response{}, verdict.Unknown(verdict.Unavailable, brokeRetry, "%s: reading the response: %v", s.client.Addr(), err)
+		return Response{}, verdict.Unknown(verdict.Unavailable, failureRetry, "%s: reading the response: %v", s.client.Addr(), err)
 	}
 	return Response{Status: resp.Status, Body: answer}, nil
 }
--- a/internal/rookpassd/holder/generate.go
+++ b/internal/rookpassd/holder/generate.go
@@ -44,11 +44,11 @@
 			used += result.CompletionTokens
 		}
 		settleBudget(cost)
-		broken := abandonedRecord(l.ID(), r.call, cost)
+		abandoned := abandonedRecord(l.ID(), r.call, cost)
 		if attempt == maxGenerateAttempts || typed.RetryAfter == 0 || ctx.Err() != nil {
-			return broken, err
+			return abandoned, err
 		}
-		if _, err := h.settle(ctx, s, l, broken); err != nil {
+		if _, err := h.settle(ctx, s, l, abandoned); err != nil {
 			return nil, err
 		}
 		if err := h.checkRetryBudget(s, l, worst); err != nil {
--- a/internal/rookpassd/program/program_test.go
+++ b/internal/rookpassd/program/program_test.go
@@ -100,10 +100,10 @@
 				sequence++
 			}
 		}
-		whole := program.New("p")
+		replayed := program.New("p")
 		for _, record := range records {
-			whole.Apply(record, 0)
-			whole.Apply(record, 0)
+			replayed.Apply(record, 0)
+			replayed.Apply(record, 0)
 		}
 		cut := rapid.IntRange(0, len(records)).Draw(r, "cut")
 		part := program.New("p")
@@ -114,10 +114,10 @@
 		for _, record := range records {
 			resumed.Apply(record, 0)
 		}
-		if !proto.Equal(whole.Snapshot(), resumed.Snapshot()) {
-			r.Fatalf("resumed %v, whole %v", resumed.Snapshot(), whole.Snapshot())
+		if !proto.Equal(replayed.Snapshot(), resumed.Snapshot()) {
+			r.Fatalf("resumed %v, whole %v", resumed.Snapshot(), replayed.Snapshot())
 		}
-		for i, finished := range whole.Snapshot().History {
+		for i, finished := range replayed.Snapshot().History {
 			if finished.Call.Sequence != uint64(i+1) {
 				r.Fatalf("history has sequence %d at position %d", finished.Call.Sequence, i+1)
 			}
--- a/internal/rookpassd/route/forward.go
+++ b/internal/rookpassd/route/forward.go
@@ -89,11 +89,11 @@
 	if err != nil {
 		return flag.MayHaveSent(), forwardError(err)
 	}
-	whole := false
+	complete := false
 	for {
 		event, err := stream.Recv()
 		switch {
-		case errors.Is(err, io.EOF) && whole:
+		case errors.Is(err, io.EOF) && complete:
 			return true, nil
 		case errors.Is(err, io.EOF):
 			return true, ForwardError(errors.New("stream ended before the final event"))
@@ -103,7 +103,7 @@
 		if !answers(req, event) {
 			return true, verdict.Unknown(verdict.Lost, noOwnerRetry, "owner's response belongs to another request")
 		}
-		whole = whole || isLast(event)
+		complete = complete || isLast(event)
 		if err := send(event); err != nil {
 			return true, err
 		}
--- a/internal/rookpassd/spending/spending.go
+++ b/internal/rookpassd/spending/spending.go
@@ -215,11 +215,11 @@
 // writeOffEnded removes the slices of incarnations that have ended and counts them as spent.
 func (l *Ledger) writeOffEnded(stored *peerv1.Spending) {
 	stored.Slices = slices.DeleteFunc(stored.Slices, func(s *peerv1.Slice) bool {
-		dead := s.Incarnation != l.Incarnation && l.Ended(s.Incarnation)
-		if dead {
+		ended := s.Incarnation != l.Incarnation && l.Ended(s.Incarnation)
+		if ended {
 			stored.SpentTokens += s.Tokens
 		}
-		return dead
+		return ended
 	})
 }
 
