--- a/internal/rookpassd/holder/handover.go
+++ b/internal/rookpassd/holder/handover.go
@@ -74,7 +74,7 @@
 		Call:       call,
 		Verdict:    rookpassv1.Verdict_VERDICT_MAY_HAVE_RUN,
 		CostTokens: cost,
-		Failure:    "the daemon that ran the call has failed",
+		Failure:    "the daemon that ran the call is gone",
 	})
 }
 
--- a/internal/rookpassd/holder/service.go
+++ b/internal/rookpassd/holder/service.go
@@ -86,7 +86,7 @@
 		Status:     int32(result.Status),
 	}
 	if result.Status >= http.StatusBadRequest {
-		finished.Failure = fmt.Sprintf("service returned status %d", result.Status)
+		finished.Failure = fmt.Sprintf("service answered %d", result.Status)
 	}
 	return finished
 }
