--- a/internal/rookpassd/backend/contract_test.go
+++ b/internal/rookpassd/backend/contract_test.go
@@ -22,7 +22,7 @@
 	m.Run()
 }
 
-// serve runs a stand-in in memory and returns how to reach it.
+// serve runs a stand-in server in memory and returns its dial function.
 func serve(t *testing.T, handler fasthttp.RequestHandler) func(string) (net.Conn, error) {
 	listener := fasthttputil.NewInmemoryListener()
 	server := &fasthttp.Server{Handler: handler, NoDefaultDate: true}
@@ -47,7 +47,7 @@
 		faults  standin.EngineFaults
 		dead    bool
 		fencing uint64
-		// tokens is the length of the text that must have come; code and verdict are of the error.
+		// tokens is the number of tokens that must be received; code and verdict are those of the expected error.
 		tokens  int
 		code    verdict.Code
 		verdict verdict.Verdict
@@ -107,17 +107,17 @@
 		t.Cleanup(client.Close)
 		_, err := client.Complete(t.Context(), backend.CompletionRequest{Prompt: "abcd", MaxTokens: 1, RequestID: "r", HoldTag: "p.1"}, func([]byte) {})
 		assert.NilError(t, err)
-		held, err := client.Holds(t.Context())
+		held, err := client.ListHolds(t.Context())
 		assert.NilError(t, err)
 		assert.DeepEqual(t, held, []backend.Hold{{Tag: "p.1", Tokens: 2}})
 		exported, err := client.ExportCache(t.Context(), "p.1")
 		assert.NilError(t, err)
 		assert.NilError(t, client.Release(t.Context(), "p.1"))
-		assert.NilError(t, client.Release(t.Context(), "p.1"), "releasing again succeeds")
+		assert.NilError(t, client.Release(t.Context(), "p.1"), "second release of the same tag")
 		_, err = client.ExportCache(t.Context(), "p.1")
 		assert.Assert(t, err != nil)
 		assert.NilError(t, client.ImportCache(t.Context(), "p.1", exported))
-		held, err = client.Holds(t.Context())
+		held, err = client.ListHolds(t.Context())
 		assert.NilError(t, err)
 		assert.Equal(t, len(held), 1)
 	})
