--- a/internal/order_test.go
+++ b/internal/order_test.go
@@ -14,7 +14,7 @@
 
 const importRoot = "github.com/rookpass/rookpass/internal/"
 
-// mayImport lists, for each group of packages, the other groups that it may import. README.md documents the order.
+// allowedImports lists, for each group of packages, the other groups that it may import. README.md documents the order.
 var allowedImports = map[string]string{
 	"base":      "",
 	"transport": "base",
@@ -37,8 +37,8 @@
 	return other != group && !strings.Contains(" "+allowedImports[group]+" ", " "+other+" ")
 }
 
-// TestImportLayers checks that packages import only their own group and those that mayImport allows. Test files may
-// import anything.
+// TestImportLayers checks that packages import only their own group and those that allowedImports lists. Test files
+// may import anything.
 func TestImportLayers(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
